--- a/src/cranklane/common/http_client.py
+++ b/src/cranklane/common/http_client.py
@@ -79,9 +79,8 @@
     :ivar headers: (name, value) in the order they came.
     """
 
-    def __init__(self, response: _Response, connection: Any) -> None:
+    def __init__(self, response: _Response) -> None:
         self._response = response
-        self._connection = connection
         self.status: int = response.status_code
         self.headers: list[tuple[str, str]] = [
             (name, str(value)) for name, value in response.items()
@@ -111,10 +110,6 @@
         """Give the connection back, or end it when the answer is not read whole."""
         self._response.release()
 
-    def abort(self) -> None:
-        """End the connection at once, so that the server learns nobody waits."""
-        self._connection.close()
-
 
 class HttpClient:
     """Keeps connections to one server.
@@ -180,7 +175,7 @@
         except _PARSER_ERRORS as error:
             timed_out = isinstance(error, TimeoutError)
             raise HttpRequestError(str(error), sent=True, timed_out=timed_out) from error
-        return HttpResponse(response, connection)
+        return HttpResponse(response)
 
     def _encode(
         self, method: str, path: str, headers: Iterable[tuple[str, str]], body: bytes
--- a/src/cranklane/node/peer_connection.py
+++ b/src/cranklane/node/peer_connection.py
@@ -174,7 +174,6 @@
         self._on_load = on_load
         self._version = version
         self.going_away = False
-        self.late_records = 0
         runtime.spawn(self._read)
         runtime.spawn(self._ping)
 
@@ -229,10 +228,8 @@
                 self.going_away = True
             return
         call = self._calls.get(number)
-        if call is None:
-            self.late_records += 1
-            return
-        call.deliver(message)
+        if call is not None:
+            call.deliver(message)
 
     def _lost(self, error: Exception) -> None:
         self._records.close()
--- a/src/cranklane/sidecar/decision_log.py
+++ b/src/cranklane/sidecar/decision_log.py
@@ -31,8 +31,6 @@
 RUNS_IN_A_LINE = 100
 """Runs named in one line at the end of a worker; their number is always told."""
 
-_CLIENT_ERRORS = range(400, 500)
-
 
 class DecisionLog:
     """Writes decision lines within their rates."""
--- a/src/cranklane_lab/bench/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Goodput and recovery time of whole deployments in virtual time, beside baselines."""
--- a/src/cranklane_lab/cli.py
+++ b/src/cranklane_lab/cli.py
@@ -46,14 +46,6 @@
     raise typer.Exit(report(run_seeds(scenario, _seeds(seeds), switched_off, jobs), json))
 
 
-@application.command()
-def fleet() -> None:
-    """Kill, freeze and empty control machines as processes, under edits."""
-    from cranklane_lab.fleet.control_run import run_control
-
-    raise typer.Exit(run_control())
-
-
 @application.command()
 def soak(
     seeds: Annotated[str, typer.Option(help="first and last seed, as A-B")] = "1-1",
@@ -173,37 +165,6 @@
     raise typer.Exit(play_many(_seeds(seeds), _check_mechanisms(without), folder))
 
 
-@application.command()
-def bench(
-    deployment: Annotated[str, typer.Option(help="songhan or gaujas")] = "songhan",
-    scenario: Annotated[str, typer.Option(help="the disturbance; see --list")] = "surge-2x",
-    seed: Annotated[int, typer.Option()] = 1,
-    compare: Annotated[list[str], typer.Option(help="a baseline")] = [],  # noqa: B006
-    json: Annotated[bool, typer.Option("--json", help="print results as JSON")] = False,
-    list_: Annotated[bool, typer.Option("--list", help="list scenarios and baselines")] = False,
-) -> None:
-    """Measure goodput and recovery in virtual time, beside baselines."""
-    from cranklane_lab.bench.run import run_bench
-    from cranklane_lab.bench.scenarios import BENCH_SCENARIOS
-    from cranklane_lab.bench.variants import VARIANTS
-    from cranklane_lab.deployments import DEPLOYMENTS
-
-    if list_:
-        for item in BENCH_SCENARIOS.values():
-            typer.echo(f"{item.name:<18}{item.purpose}")
-        for variant in VARIANTS.values():
-            typer.echo(f"{variant.name:<18}{variant.purpose}")
-        raise typer.Exit
-    for name, known in ((deployment, DEPLOYMENTS), (scenario, BENCH_SCENARIOS)):
-        if name not in known:
-            raise typer.BadParameter(f"{name!r}: known are {', '.join(known)}")
-    unknown = [name for name in compare if name not in VARIANTS]
-    if unknown:
-        raise typer.BadParameter(f"{unknown}: known are {', '.join(VARIANTS)}")
-    variants = ["product", *(name for name in compare if name != "product")]
-    raise typer.Exit(run_bench(deployment, scenario, seed, variants, json))
-
-
 @application.command()
 def evidence(
     callers: Annotated[int, typer.Option(min=1, help="callers of the service")] = 195,
--- a/src/cranklane_lab/deployments.py
+++ b/src/cranklane_lab/deployments.py
@@ -251,9 +251,6 @@
 PAIR = _pair()
 """The smallest deployment, for measurements."""
 
-DESIGN_ZONES = tuple(f"r{1 + zone % 4}-z{1 + zone // 4}" for zone in range(11))
-"""The zones of the size to design for: 11 in 4 regions."""
-
 
 def find_deployment(name: str) -> Deployment:
     """Return a deployment by its name.
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -41,7 +41,6 @@
 """What is learnt in this time is not counted."""
 
 _PRIORITY = 1
-_MAX_REFUSALS = 3
 
 
 @dataclass(frozen=True)
--- a/src/cranklane_lab/scenarios/promises.py
+++ b/src/cranklane_lab/scenarios/promises.py
@@ -9,9 +9,6 @@
 LEAVING_SECONDS = 3.0
 """Seconds after which a back end that leaves gets no new work."""
 
-CONFIG_SECONDS = 9.0
-"""Seconds within which an accepted configuration is in force everywhere."""
-
 
 def check_all(recorder: Recorder, allowance: int, edge_lost: bool = False) -> None:
     """Check every promise that can be judged after a run.
--- a/src/cranklane_lab/simulation/fleet.py
+++ b/src/cranklane_lab/simulation/fleet.py
@@ -55,7 +55,6 @@
     edge_address: Address = ("", 0)
     pairs: list[SimulatedPair] = field(default_factory=list)
     on_run: Callable[[WorkerRun], None] | None = None
-    workers_shed: bool = True
 
     def start(self, controls: int = 1, ledgers: int = 0) -> None:
         """Start everything, put the policy in force and wait until nodes have it.
@@ -201,7 +200,6 @@
                 plan,
                 (process.host, _WORKER_PORT),
                 (process.host, _HTTP_PORT),
-                sheds=self.workers_shed,
                 on_run=self.on_run,
             ),
         )
--- a/src/cranklane_lab/simulation/loop.py
+++ b/src/cranklane_lab/simulation/loop.py
@@ -296,10 +296,6 @@
     async_ = check = prepare = signal = fork = child = io = idle = stat = _inert
 
 
-class TimeUpError(Exception):
-    """The run took more virtual time than it may."""
-
-
 class _Hub(Hub):
     """Keeps the errors that end tasks, besides printing them."""
 
--- a/src/cranklane_lab/standins/worker.py
+++ b/src/cranklane_lab/standins/worker.py
@@ -12,7 +12,6 @@
 
 import falcon
 import gevent
-from gevent.lock import Semaphore
 
 from cranklane.common import headers as header_names
 from cranklane.common.http_client import HttpClient, HttpRequestError, HttpResponse
@@ -74,7 +73,6 @@
     """One stand-in worker process.
 
     :param node: the HTTP address of its node, for child calls.
-    :param sheds: whether it refuses work beyond its slots, or queues it.
     """
 
     def __init__(
@@ -85,17 +83,14 @@
         plan: ServicePlan,
         address: Address,
         node: Address,
-        sheds: bool = True,
         on_run: Callable[[WorkerRun], None] | None = None,
     ) -> None:
         self._runtime = runtime
         self._name = name
         self._tenant = tenant
         self._plan = plan
-        self._sheds = sheds
         self._on_run = on_run
         self._node = HttpClient(runtime, node, concurrency=256)
-        self._free_slots = Semaphore(plan.slots)
         self.state = WorkerState()
         application = falcon.App()
         application.add_sink(self._serve, "/")
@@ -118,14 +113,10 @@
         if work is None:
             response.status = falcon.HTTP_404
             return
-        if self.state.draining or (self._sheds and self.state.running >= self._plan.slots):
+        if self.state.draining or self.state.running >= self._plan.slots:
             self._shed(response)
             return
-        if self._sheds:
-            self._run(request, response, work)
-            return
-        with self._free_slots:
-            self._run(request, response, work)
+        self._run(request, response, work)
 
     def _shed(self, response: falcon.Response) -> None:
         self.state.shed += 1
--- a/tests/test_compilation.py
+++ b/tests/test_compilation.py
@@ -9,7 +9,7 @@
 from cranklane.control.compilation import DocumentCompiler
 from cranklane.control.store import ROOT, ConfigurationStore, EditResult
 from cranklane.records.messages import EditCommand, ServiceRow
-from cranklane_lab.large_policy import TENANTS, service_name, tenant_document, tenant_name
+from large_policy import TENANTS, service_name, tenant_document, tenant_name
 
 
 def put(store: ConfigurationStore, compiler: DocumentCompiler, name: str, text: str) -> None:
