--- a/src/cranklane/cli/daemon.py
+++ b/src/cranklane/cli/daemon.py
@@ -49,7 +49,7 @@
 
         return ControlProcess, ControlSettings
     if command == "controller":
-        from cranklane.control.controller import Controller, ControllerSettings
+        from cranklane.controller.process import Controller, ControllerSettings
 
         return Controller, ControllerSettings
     if command == "sidecar":
--- a/src/cranklane/cli/quarantine.py
+++ b/src/cranklane/cli/quarantine.py
@@ -7,7 +7,7 @@
 import typer
 
 from cranklane.cli.common import Token, call
-from cranklane.sidecar.quarantine_api import QUARANTINE_PATH
+from cranklane.sidecar.quarantine.api import QUARANTINE_PATH
 
 quarantine_commands = typer.Typer(
     no_args_is_help=True, help="Requests held since workers ended that ran them."
--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -8,10 +8,10 @@
 from cranklane.common.http_server import HttpServer
 from cranklane.common.logs import logger
 from cranklane.control.editor import Editor
-from cranklane.control.node_service import NodeService, NodeServiceTiming
 from cranklane.control.operator_api import OperatorApi
-from cranklane.control.publisher import SILENT_SECONDS
 from cranklane.control.store import ConfigurationStore
+from cranklane.distribution.node_service import NodeService, NodeServiceTiming
+from cranklane.distribution.publisher import SILENT_SECONDS
 from cranklane.records.messages import Hello
 from cranklane.replication.joining import Joining
 from cranklane.replication.membership_change import MembershipChange
--- a/src/cranklane/control/status.py
+++ b/src/cranklane/control/status.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Member, ReplicaMember
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/src/cranklane/controller/__init__.py
@@ -0,0 +1,1 @@
+"""The controller program: keeps the route table of sidecars, and their fleet-wide quotas."""
--- a/src/cranklane/control/controller.py
+++ b/src/cranklane/controller/process.py
@@ -9,14 +9,14 @@
 from cranklane.common.logs import logger
 from cranklane.common.metrics_server import GaugeRegistry, MetricsServer
 from cranklane.common.small_http import SmallHttp
-from cranklane.control.confirmation import Confirmation
-from cranklane.control.fleet_quotas import FleetCount, FleetQuotas
-from cranklane.control.node_service import NodeService, NodeServiceTiming
-from cranklane.control.publisher import SILENT_SECONDS
-from cranklane.control.route_api import RouteApi
-from cranklane.control.route_editor import RouteEditor
-from cranklane.control.route_store import RouteTableStore
-from cranklane.control.sidecar_service import SidecarService
+from cranklane.controller.confirmation import Confirmation
+from cranklane.controller.fleet_quotas import FleetCount, FleetQuotas
+from cranklane.controller.route_api import RouteApi
+from cranklane.controller.route_editor import RouteEditor
+from cranklane.controller.route_store import RouteTableStore
+from cranklane.controller.sidecar_service import SidecarService
+from cranklane.distribution.node_service import NodeService, NodeServiceTiming
+from cranklane.distribution.publisher import SILENT_SECONDS
 from cranklane.records.messages import Hello
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
--- a/src/cranklane/control/route_api.py
+++ b/src/cranklane/controller/route_api.py
@@ -7,8 +7,8 @@
 import falcon
 from result import Ok
 
-from cranklane.control.route_editor import RefusalKind, RouteEditor, TableRefusal
-from cranklane.control.route_store import RouteTableStore
+from cranklane.controller.route_editor import RefusalKind, RouteEditor, TableRefusal
+from cranklane.controller.route_store import RouteTableStore
 from cranklane.replication.replica import Replica
 
 ROUTE_TABLE_PATH = "/v1/route-table"
--- a/src/cranklane/control/route_editor.py
+++ b/src/cranklane/controller/route_editor.py
@@ -10,7 +10,7 @@
 
 from result import Err, Ok, Result
 
-from cranklane.control.route_store import RouteTableStore, TableResult
+from cranklane.controller.route_store import RouteTableStore, TableResult
 from cranklane.records.messages import RouteTableCommand
 from cranklane.replication.replica import Replica
 from cranklane.routes.document import MAX_NUMBER, pack_document, read_json, read_table
--- a/src/cranklane/control/route_store.py
+++ b/src/cranklane/controller/route_store.py
@@ -10,7 +10,7 @@
 from enum import IntEnum
 from typing import Any
 
-from cranklane.control.row_changes import RowChanges
+from cranklane.controller.row_changes import RowChanges
 from cranklane.records.messages import (
     ConfigDelta,
     ConfigRow,
--- a/src/cranklane/control/sidecar_service.py
+++ b/src/cranklane/controller/sidecar_service.py
@@ -10,8 +10,8 @@
 
 import gevent
 
-from cranklane.control.confirmation import Confirmation
-from cranklane.control.fleet_quotas import STEP_SECONDS, FleetQuotas
+from cranklane.controller.confirmation import Confirmation
+from cranklane.controller.fleet_quotas import STEP_SECONDS, FleetQuotas
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import (
     Heartbeat,
--- a/src/cranklane/control/exchange.py
+++ b/src/cranklane/distribution/exchange.py
@@ -9,14 +9,14 @@
 import gevent
 from gevent.event import Event
 
-from cranklane.control.membership import Membership
+from cranklane.distribution.membership import Membership
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import Hello, MemberReport, ReplicaMember, UsageTotals
 from cranklane.runtime.interface import Runtime, parse_address
 
 if TYPE_CHECKING:
-    from cranklane.control.sidecar_service import SidecarService
+    from cranklane.controller.sidecar_service import SidecarService
 
 REPORT_SECONDS = 1.0
 """Seconds between reports when there is nothing to tell."""
--- a/src/cranklane/control/membership.py
+++ b/src/cranklane/distribution/membership.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Heartbeat, Member, MemberReport, NodeVersion, Subscribe
 
 LEASE_SECONDS = 6.0
--- a/src/cranklane/control/node_service.py
+++ b/src/cranklane/distribution/node_service.py
@@ -13,16 +13,16 @@
 
 import gevent
 
-from cranklane.control.exchange import Exchange
-from cranklane.control.membership import Membership
-from cranklane.control.publisher import PING_SECONDS, Publisher, RowSource
+from cranklane.distribution.exchange import Exchange
+from cranklane.distribution.membership import Membership
+from cranklane.distribution.publisher import PING_SECONDS, Publisher, RowSource
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import Hello, MemberReport, ReplicaMember, Subscribe
 from cranklane.replication.replica import Replica
 from cranklane.runtime.interface import Runtime
 
 if TYPE_CHECKING:
-    from cranklane.control.sidecar_service import SidecarService
+    from cranklane.controller.sidecar_service import SidecarService
 
 
 @dataclass(frozen=True)
--- a/src/cranklane/control/publisher.py
+++ b/src/cranklane/distribution/publisher.py
@@ -12,7 +12,7 @@
 import gevent
 from gevent.event import Event
 
-from cranklane.control.membership import Membership
+from cranklane.distribution.membership import Membership
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.policy.names import SYSTEM_TENANT
 from cranklane.records.connection import CONNECTION_CALL, RecordConnection, encode_frame
@@ -32,7 +32,7 @@
 from cranklane.runtime.interface import Runtime
 
 if TYPE_CHECKING:
-    from cranklane.control.sidecar_service import SidecarService
+    from cranklane.controller.sidecar_service import SidecarService
 
 SILENT_SECONDS = 6.0
 """Seconds without a heartbeat after which a subscriber counts as lost."""
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass
 
 from cranklane.common.logs import logger
+from cranklane.distribution.member_state import MemberState
+from cranklane.distribution.subscription import Subscription
 from cranklane.ledger.service import LedgerService
 from cranklane.ledger.store import LedgerStore
-from cranklane.node.configuration import NodeConfiguration
-from cranklane.node.members import MemberState
-from cranklane.node.subscription import Subscription
+from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane.policy.names import SYSTEM_TENANT
 from cranklane.records.messages import Heartbeat, Hello, Subscribe
 from cranklane.replication.joining import Joining
@@ -108,7 +108,7 @@
             self.runtime,
             [parse_address(text) for text in settings.controls],
             identity,
-            NodeConfiguration(),
+            AdoptedPolicy(),
             self.runtime.storage(f"{settings.data}/{_SUBSCRIPTION_FOLDER}"),
             lambda _delta: None,
             lambda: None,
--- a/src/cranklane/node/balancer.py
+++ b/src/cranklane/node/balancer.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from cranklane.node.members import MemberState, MemberView
+from cranklane.distribution.member_state import MemberState
+from cranklane.node.members import MemberView
 
 SLOW_START_SECONDS = 10.0
 """A member new to us gets its full part of the calls only after this long."""
--- a/src/cranklane/node/callers.py
+++ b/src/cranklane/node/callers.py
@@ -20,10 +20,10 @@
 from cranklane.errors import AnswerCutError
 from cranklane.node.allowance import Allowance
 from cranklane.node.answer import Answer, Request, refused
-from cranklane.node.configuration import CLIENTS, NodeConfiguration, Route
 from cranklane.node.context import CallContext, ContextTable
 from cranklane.node.outbound import Outbound
 from cranklane.outcome import Outcome, Reason, status_of
+from cranklane.policy.adopted_policy import CLIENTS, AdoptedPolicy, Route
 from cranklane.runtime.interface import Runtime
 
 MAX_BODY_BYTES = 1024 * 1024
@@ -67,7 +67,7 @@
         self,
         runtime: Runtime,
         service: str,
-        configuration: NodeConfiguration,
+        configuration: AdoptedPolicy,
         outbound: Outbound,
         contexts: ContextTable,
     ) -> None:
--- a/src/cranklane/node/inbound.py
+++ b/src/cranklane/node/inbound.py
@@ -16,7 +16,6 @@
 from cranklane.ledger.store import MAX_STORED_BODY
 from cranklane.node.admission import Admission, Refusal, Slot
 from cranklane.node.allowance import Allowance
-from cranklane.node.configuration import NodeConfiguration, Service
 from cranklane.node.context import CallContext, ContextTable
 from cranklane.node.inbound_call import InboundCall
 from cranklane.node.metrics import NodeMetrics
@@ -24,6 +23,7 @@
 from cranklane.node.peer_connection import PING_SECONDS, SILENT_SECONDS
 from cranklane.node.worker import WorkerClient, WorkerFailure
 from cranklane.outcome import Criticality, Outcome, Reason, Repeat
+from cranklane.policy.adopted_policy import AdoptedPolicy, Service
 from cranklane.records.connection import CONNECTION_CALL, RecordConnection, SilenceWatch
 from cranklane.records.messages import (
     AnswerAbort,
@@ -53,7 +53,7 @@
         self,
         runtime: Runtime,
         service: str,
-        configuration: NodeConfiguration,
+        configuration: AdoptedPolicy,
         admission: Admission,
         worker: WorkerClient,
         contexts: ContextTable,
--- a/src/cranklane/node/members.py
+++ b/src/cranklane/node/members.py
@@ -4,28 +4,11 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from enum import IntEnum
 
+from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import AnswerHead, LoadReport, Member, MemberDelta
 from cranklane.runtime.interface import Address, parse_address
 
-
-class MemberState(IntEnum):
-    """What is known of a node."""
-
-    LIVE = 0
-    DRAINING = 1
-    GONE = 2
-    """It said that it ends, or that nothing runs there."""
-    SILENT = 3
-    """Control has not heard of it for its lease: it is gone, or cut off from control."""
-
-    @property
-    def is_there(self) -> bool:
-        """Whether control takes the node to be there."""
-        return self in (MemberState.LIVE, MemberState.DRAINING)
-
-
 EJECT_AFTER_FAILURES = 3
 """Failures in a row after which a member gets no calls for a while."""
 
--- a/src/cranklane/node/outbound.py
+++ b/src/cranklane/node/outbound.py
@@ -10,7 +10,6 @@
 from cranklane.errors import ConnectionLostError
 from cranklane.node.answer import Answer, Request, refused
 from cranklane.node.balancer import Balancer
-from cranklane.node.configuration import NodeConfiguration, Route, Service
 from cranklane.node.context import MAX_DEPTH, CallContext
 from cranklane.node.members import MemberTable, MemberView
 from cranklane.node.metrics import NodeMetrics
@@ -18,6 +17,7 @@
 from cranklane.node.peers import PeerPool
 from cranklane.node.retry_budget import RetryBudget
 from cranklane.outcome import Criticality, Outcome, Reason, Repeat
+from cranklane.policy.adopted_policy import AdoptedPolicy, Route, Service
 from cranklane.records.messages import AnswerHead, CallOpen
 from cranklane.runtime.interface import Runtime
 
@@ -70,7 +70,7 @@
     def __init__(
         self,
         runtime: Runtime,
-        configuration: NodeConfiguration,
+        configuration: AdoptedPolicy,
         members: MemberTable,
         peers: PeerPool,
         balancer: Balancer,
--- a/src/cranklane/node/process.py
+++ b/src/cranklane/node/process.py
@@ -9,21 +9,22 @@
 
 from cranklane.common.http_server import HttpServer
 from cranklane.common.logs import logger
+from cranklane.distribution.member_state import MemberState
+from cranklane.distribution.subscription import Subscription
 from cranklane.node.admin import Admin
 from cranklane.node.admission import Admission
 from cranklane.node.balancer import Balancer
 from cranklane.node.callers import Callers
-from cranklane.node.configuration import NodeConfiguration
 from cranklane.node.context import ContextTable
 from cranklane.node.inbound import Inbound
 from cranklane.node.ledger_client import LedgerClient
-from cranklane.node.members import MemberState, MemberTable, MemberView
+from cranklane.node.members import MemberTable, MemberView
 from cranklane.node.metrics import NodeMetrics
 from cranklane.node.once import OnceCalls
 from cranklane.node.outbound import Outbound
 from cranklane.node.peers import PeerPool
-from cranklane.node.subscription import Subscription
 from cranklane.node.worker import WorkerClient
+from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane.records.messages import Heartbeat, Hello, MemberDelta, Subscribe
 from cranklane.runtime.interface import Runtime, format_address, parse_address
 from cranklane.settings import (
@@ -80,7 +81,7 @@
         self._settings = settings
         self._log = logger(process="node" if settings.service else "edge", node=settings.name)
         self.incarnation = int(runtime.wall() * 1000)
-        self.configuration = NodeConfiguration()
+        self.configuration = AdoptedPolicy()
         self.metrics = NodeMetrics()
         self.members = MemberTable(runtime.monotonic)
         self.contexts = ContextTable(runtime.random)
--- a/src/cranklane/node/configuration.py
+++ b/src/cranklane/policy/adopted_policy.py
@@ -111,7 +111,7 @@
     )
 
 
-class NodeConfiguration:
+class AdoptedPolicy:
     """Rows adopted so far, in order and never backwards.
 
     :ivar version: revision of the newest change in force; 0 before the first.
--- /dev/null
+++ b/src/cranklane/sidecar/admission/__init__.py
@@ -0,0 +1,1 @@
+"""Admits, queues or refuses requests before the own worker."""
--- a/src/cranklane/sidecar/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -15,24 +15,24 @@
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.runtime.interface import Runtime
-from cranklane.sidecar.attempt import Attempt, Load, Reply, refusal, unknown
-from cranklane.sidecar.call_tree import CallTree, Root, Run
-from cranklane.sidecar.lone_runs import LoneRuns, SuspectAdmission
-from cranklane.sidecar.outcome_limiter import OutcomeLimiter
-from cranklane.sidecar.quarantine import Quarantine, Standing, end_id
-from cranklane.sidecar.request_identity import Identity
-from cranklane.sidecar.slots import Slots, Waiter
-from cranklane.sidecar.slowness import ratio_to
-from cranklane.sidecar.worker_condition import WorkerCondition
-from cranklane.sidecar.worker_end import (
+from cranklane.sidecar.admission.lone_runs import LoneRuns, SuspectAdmission
+from cranklane.sidecar.admission.outcome_limiter import OutcomeLimiter
+from cranklane.sidecar.admission.slots import Slots, Waiter
+from cranklane.sidecar.quarantine.table import Quarantine, Standing, end_id
+from cranklane.sidecar.request.attempt import Attempt, Load, Reply, refusal, unknown
+from cranklane.sidecar.request.call_tree import CallTree, Root, Run
+from cranklane.sidecar.request.identity import Identity
+from cranklane.sidecar.worker.condition import WorkerCondition
+from cranklane.sidecar.worker.end import (
     LEAVING,
     EndedRun,
     WorkerEnd,
     WorkerEnds,
     identity_of_request,
 )
-from cranklane.sidecar.worker_exchange import WorkerExchange
-from cranklane.sidecar.worker_registry import WorkerRegistry, WorkerState
+from cranklane.sidecar.worker.exchange import WorkerExchange
+from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
+from cranklane.sidecar.worker.slowness import ratio_to
 
 MIN_RETRY_AFTER_MS = 50
 
--- a/src/cranklane/sidecar/lone_runs.py
+++ b/src/cranklane/sidecar/admission/lone_runs.py
@@ -15,10 +15,10 @@
 
 from cranklane.outcome import Reason
 from cranklane.records.messages import ForwardRequest
-from cranklane.sidecar.quarantine import Quarantine, Standing
-from cranklane.sidecar.request_identity import Identity
-from cranklane.sidecar.slots import Slots, Waiter
-from cranklane.sidecar.worker_end import identity_of_request
+from cranklane.sidecar.admission.slots import Slots, Waiter
+from cranklane.sidecar.quarantine.table import Quarantine, Standing
+from cranklane.sidecar.request.identity import Identity
+from cranklane.sidecar.worker.end import identity_of_request
 
 MILLISECONDS = 1000
 
--- /dev/null
+++ b/src/cranklane/sidecar/ingress/__init__.py
@@ -0,0 +1,1 @@
+"""Takes requests from callers and writes their answers."""
--- a/src/cranklane/sidecar/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -12,10 +12,10 @@
 from cranklane.outcome import Reason
 from cranklane.routes.table import Route, RouteTable
 from cranklane.routes.tenants import Tenant
-from cranklane.sidecar.attempt import Reply, refusal
-from cranklane.sidecar.call_tree import ID_SEPARATOR, Run
-from cranklane.sidecar.table_lease import TableLease
-from cranklane.sidecar.tenant_quota import TenantQuota
+from cranklane.sidecar.admission.tenant_quota import TenantQuota
+from cranklane.sidecar.request.attempt import Reply, refusal
+from cranklane.sidecar.request.call_tree import ID_SEPARATOR, Run
+from cranklane.sidecar.table.table_lease import TableLease
 
 STALE_RETRY_AFTER_MS = 500
 """When a request may come again that is refused since the table may be out of date: a
--- a/src/cranklane/sidecar/caller_connection.py
+++ b/src/cranklane/sidecar/ingress/caller_connection.py
@@ -15,7 +15,7 @@
 )
 from cranklane.routes.table import RouteTable
 from cranklane.runtime.interface import Runtime
-from cranklane.sidecar.attempt import SMALL_BODY_BYTES
+from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
 
 DISCARD_SECONDS = 2.0
 """Time in which the rest of a body is read and thrown away after an early answer."""
--- a/src/cranklane/sidecar/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -26,19 +26,19 @@
 from cranklane.routes.splitter import Splitter
 from cranklane.routes.table import Route, RouteTable
 from cranklane.runtime.interface import Address, Runtime
-from cranklane.sidecar.attempt import SMALL_BODY_BYTES, Reply, refusal
-from cranklane.sidecar.authentication import Authentication, Caller, identity_line
-from cranklane.sidecar.call_tree import CallFailure, CallTree, Root, Run
-from cranklane.sidecar.caller_connection import CallerConnection
-from cranklane.sidecar.decision import Decision
-from cranklane.sidecar.dispatcher import (
+from cranklane.sidecar.ingress.authentication import Authentication, Caller, identity_line
+from cranklane.sidecar.ingress.caller_connection import CallerConnection
+from cranklane.sidecar.ingress.hang_up import HangUpWatch
+from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES, Reply, refusal
+from cranklane.sidecar.request.call_tree import CallFailure, CallTree, Root, Run
+from cranklane.sidecar.request.decision import Decision
+from cranklane.sidecar.request.slot_work import SlotWork
+from cranklane.sidecar.routing.dispatcher import (
     DEFAULT_RETRY_AFTER_MS,
     NO_ROOM,
     Call,
     Dispatcher,
 )
-from cranklane.sidecar.hang_up import HangUpWatch
-from cranklane.sidecar.slot_work import SlotWork
 
 WRITE_SECONDS = 10.0
 """A caller that takes no bytes for this long is given up."""
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -11,8 +11,8 @@
 from cranklane.common.metrics_server import MetricsServer
 from cranklane.common.request_names import HeaderNames
 from cranklane.common.small_http import SmallHttp
-from cranklane.node.members import MemberState
-from cranklane.node.subscription import FollowTiming, Subscription
+from cranklane.distribution.member_state import MemberState
+from cranklane.distribution.subscription import FollowTiming, Subscription
 from cranklane.records.messages import (
     Heartbeat,
     HeartbeatAnswer,
@@ -36,28 +36,28 @@
     setting,
     whole_number,
 )
-from cranklane.sidecar.adopted_table import AdoptedTable
-from cranklane.sidecar.authentication import Authentication
-from cranklane.sidecar.call_tree import CallTree
-from cranklane.sidecar.decision_log import DecisionLog
-from cranklane.sidecar.destinations import Destinations
-from cranklane.sidecar.dispatcher import Dispatcher
-from cranklane.sidecar.gate import Gate
-from cranklane.sidecar.hang_up import HangUpWatch
-from cranklane.sidecar.ingress import Ingress
-from cranklane.sidecar.metrics import SidecarMetrics
-from cranklane.sidecar.peers import PeerClient, PeerServer
-from cranklane.sidecar.quarantine_api import QuarantineApi
-from cranklane.sidecar.quarantine_spread import QuarantineSpread
-from cranklane.sidecar.retry_budget import RetryBound, RetryBudget
-from cranklane.sidecar.sidecar_directory import SidecarDirectory
-from cranklane.sidecar.slots import Slots
-from cranklane.sidecar.table_lease import TableLease
-from cranklane.sidecar.tenant_quota import TenantQuota
-from cranklane.sidecar.worker_api import ReadinessApi, WorkerApi
-from cranklane.sidecar.worker_condition import Condition, WorkerCondition
-from cranklane.sidecar.worker_probe import WorkerProbe
-from cranklane.sidecar.worker_registry import WorkerRegistry
+from cranklane.sidecar.admission.gate import Gate
+from cranklane.sidecar.admission.slots import Slots
+from cranklane.sidecar.admission.tenant_quota import TenantQuota
+from cranklane.sidecar.ingress.authentication import Authentication
+from cranklane.sidecar.ingress.hang_up import HangUpWatch
+from cranklane.sidecar.ingress.ingress import Ingress
+from cranklane.sidecar.quarantine.api import QuarantineApi
+from cranklane.sidecar.quarantine.sidecar_directory import SidecarDirectory
+from cranklane.sidecar.quarantine.spread import QuarantineSpread
+from cranklane.sidecar.request.call_tree import CallTree
+from cranklane.sidecar.routing.destinations import Destinations
+from cranklane.sidecar.routing.dispatcher import Dispatcher
+from cranklane.sidecar.routing.peers import PeerClient, PeerServer
+from cranklane.sidecar.routing.retry_budget import RetryBound, RetryBudget
+from cranklane.sidecar.table.adopted_table import AdoptedTable
+from cranklane.sidecar.table.table_lease import TableLease
+from cranklane.sidecar.telemetry.decision_log import DecisionLog
+from cranklane.sidecar.telemetry.metrics import SidecarMetrics
+from cranklane.sidecar.worker.api import ReadinessApi, WorkerApi
+from cranklane.sidecar.worker.condition import Condition, WorkerCondition
+from cranklane.sidecar.worker.probe import WorkerProbe
+from cranklane.sidecar.worker.registry import WorkerRegistry
 
 TIMING = FollowTiming(heartbeat=0.5, silent=1.6, max_backoff=0.8, raises_incarnation=True)
 """Control answers each heartbeat, so this much silence means that it is lost."""
--- /dev/null
+++ b/src/cranklane/sidecar/quarantine/__init__.py
@@ -0,0 +1,1 @@
+"""Which requests are suspected of crashing workers, and are refused everywhere."""
--- a/src/cranklane/sidecar/quarantine_api.py
+++ b/src/cranklane/sidecar/quarantine/api.py
@@ -15,8 +15,8 @@
 
 from cranklane.common.secret_digest import secret_digest
 from cranklane.common.small_http import SmallAnswer, SmallHandler
-from cranklane.sidecar.quarantine import MOST_HOLD_SECONDS, Quarantine
-from cranklane.sidecar.request_identity import IDENTITY_BYTES, Identity
+from cranklane.sidecar.quarantine.table import MOST_HOLD_SECONDS, Quarantine
+from cranklane.sidecar.request.identity import IDENTITY_BYTES, Identity
 
 QUARANTINE_PATH = "/v1/quarantine"
 _LIFT_PATH = f"{QUARANTINE_PATH}/lift"
--- a/src/cranklane/sidecar/sidecar_directory.py
+++ b/src/cranklane/sidecar/quarantine/sidecar_directory.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Member, MemberDelta
 from cranklane.runtime.interface import Address, parse_address
 
--- a/src/cranklane/sidecar/quarantine_spread.py
+++ b/src/cranklane/sidecar/quarantine/spread.py
@@ -18,8 +18,8 @@
 
 from cranklane.records.messages import QuarantineEntry, QuarantineNews
 from cranklane.runtime.interface import Address, Runtime
-from cranklane.sidecar.quarantine import Quarantine
-from cranklane.sidecar.sidecar_directory import OtherSidecar, SidecarDirectory
+from cranklane.sidecar.quarantine.sidecar_directory import OtherSidecar, SidecarDirectory
+from cranklane.sidecar.quarantine.table import Quarantine
 
 FAN_OUT = 16
 """Sidecars to which one sends a piece of news."""
--- a/src/cranklane/sidecar/quarantine.py
+++ b/src/cranklane/sidecar/quarantine/table.py
@@ -24,7 +24,7 @@
 
 from cranklane.common.secret_digest import sha256
 from cranklane.records.messages import QuarantineEntry
-from cranklane.sidecar.request_identity import Identity
+from cranklane.sidecar.request.identity import Identity
 
 FIRST_HOLD_SECONDS = 5.0
 """Hold after the first end that speaks against a request alone. One such end may be a chance, as
--- a/src/cranklane/sidecar/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -8,9 +8,9 @@
 from cranklane.common.http1 import Framing
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
-from cranklane.sidecar.call_tree import CallFailure
-from cranklane.sidecar.slot_work import SlotWork
-from cranklane.sidecar.worker_condition import WELL, Condition
+from cranklane.sidecar.request.call_tree import CallFailure
+from cranklane.sidecar.request.slot_work import SlotWork
+from cranklane.sidecar.worker.condition import WELL, Condition
 
 BodyReader = Callable[[], bytes]
 """Returns the next piece of a request's body, nothing at its end."""
--- a/src/cranklane/sidecar/call_tree.py
+++ b/src/cranklane/sidecar/request/call_tree.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from cranklane.outcome import Reason
-from cranklane.sidecar.slot_work import SlotWork
+from cranklane.sidecar.request.slot_work import SlotWork
 
 ID_SEPARATOR = "."
 """Between the id of a run and what its worker adds for a call."""
--- a/src/cranklane/sidecar/decision.py
+++ b/src/cranklane/sidecar/request/decision.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 
 from cranklane.outcome import Outcome, Reason
-from cranklane.sidecar.call_tree import CallFailure
-from cranklane.sidecar.slot_work import SlotWork
+from cranklane.sidecar.request.call_tree import CallFailure
+from cranklane.sidecar.request.slot_work import SlotWork
 
 
 @dataclass(slots=True)
--- a/src/cranklane/sidecar/request_identity.py
+++ b/src/cranklane/sidecar/request/identity.py
@@ -9,7 +9,7 @@
 from __future__ import annotations
 
 from cranklane.common.secret_digest import sha256
-from cranklane.sidecar.attempt import SMALL_BODY_BYTES
+from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
 
 IDENTITY_BYTES = 16
 """Bytes of a digest that are kept: two of 10 ** 9 requests are alike with probability
--- a/src/cranklane/sidecar/destinations.py
+++ b/src/cranklane/sidecar/routing/destinations.py
@@ -10,14 +10,14 @@
 
 from gevent.event import Event
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.outcome import Reason
 from cranklane.records.messages import Member, MemberDelta
 from cranklane.runtime.interface import Address, parse_address
-from cranklane.sidecar.attempt import Load
-from cranklane.sidecar.retry_budget import FleetSize
-from cranklane.sidecar.slowness import TOLERATED, Slowness
-from cranklane.sidecar.worker_condition import WELL, Condition
+from cranklane.sidecar.request.attempt import Load
+from cranklane.sidecar.routing.retry_budget import FleetSize
+from cranklane.sidecar.worker.condition import WELL, Condition
+from cranklane.sidecar.worker.slowness import TOLERATED, Slowness
 
 EJECT_SECONDS = 1.0
 """A destination that could not be reached gets nothing for this long at first."""
--- a/src/cranklane/sidecar/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -13,21 +13,21 @@
 import gevent
 
 from cranklane.common.http1 import Framing
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.routes.table import Route
 from cranklane.runtime.interface import Runtime
-from cranklane.sidecar.attempt import Attempt, BodyReader, Reply, refusal
-from cranklane.sidecar.call_tree import Root
-from cranklane.sidecar.destinations import NO_WORKER, UNREACHABLE, Destination, Destinations
-from cranklane.sidecar.gate import MICROSECONDS, Gate, tells_its_time
-from cranklane.sidecar.peers import PeerClient
-from cranklane.sidecar.quarantine import Quarantine, Standing
-from cranklane.sidecar.request_identity import Identity, identity_of
-from cranklane.sidecar.retry_budget import RetryBudget
-from cranklane.sidecar.slot_work import SlotWork
-from cranklane.sidecar.slowness import TypicalTimes
+from cranklane.sidecar.admission.gate import MICROSECONDS, Gate, tells_its_time
+from cranklane.sidecar.quarantine.table import Quarantine, Standing
+from cranklane.sidecar.request.attempt import Attempt, BodyReader, Reply, refusal
+from cranklane.sidecar.request.call_tree import Root
+from cranklane.sidecar.request.identity import Identity, identity_of
+from cranklane.sidecar.request.slot_work import SlotWork
+from cranklane.sidecar.routing.destinations import NO_WORKER, UNREACHABLE, Destination, Destinations
+from cranklane.sidecar.routing.peers import PeerClient
+from cranklane.sidecar.routing.retry_budget import RetryBudget
+from cranklane.sidecar.worker.slowness import TypicalTimes
 
 MAX_REFUSALS = 3
 """Sidecars that refuse for want of room before a request counts as refused."""
--- a/src/cranklane/sidecar/peers.py
+++ b/src/cranklane/sidecar/routing/peers.py
@@ -27,12 +27,12 @@
     ServiceWork,
 )
 from cranklane.runtime.interface import Address, Runtime
-from cranklane.sidecar.attempt import Attempt, Load, Reply, refusal, unknown
-from cranklane.sidecar.call_tree import CallFailure
-from cranklane.sidecar.gate import Gate
-from cranklane.sidecar.hang_up import HangUpWatch
-from cranklane.sidecar.slot_work import SlotWork
-from cranklane.sidecar.worker_condition import Condition
+from cranklane.sidecar.admission.gate import Gate
+from cranklane.sidecar.ingress.hang_up import HangUpWatch
+from cranklane.sidecar.request.attempt import Attempt, Load, Reply, refusal, unknown
+from cranklane.sidecar.request.call_tree import CallFailure
+from cranklane.sidecar.request.slot_work import SlotWork
+from cranklane.sidecar.worker.condition import Condition
 
 CONNECT_SECONDS = 0.6
 IDLE_SECONDS = 8.0
--- /dev/null
+++ b/src/cranklane/sidecar/telemetry/__init__.py
@@ -0,0 +1,1 @@
+"""Metrics and log lines of a sidecar."""
--- a/src/cranklane/sidecar/decision_log.py
+++ b/src/cranklane/sidecar/telemetry/decision_log.py
@@ -14,15 +14,15 @@
 
 from cranklane.common.logs import RateLimit
 from cranklane.outcome import Outcome, Reason
-from cranklane.sidecar.attempt import Reply
-from cranklane.sidecar.authentication import IngressRefusal
-from cranklane.sidecar.decision import Decision
-from cranklane.sidecar.destinations import Destination
-from cranklane.sidecar.dispatcher import Call
-from cranklane.sidecar.metrics import SidecarMetrics
-from cranklane.sidecar.request_identity import Identity
-from cranklane.sidecar.request_summary import End, RequestSummary, end_of
-from cranklane.sidecar.worker_end import WorkerEnd
+from cranklane.sidecar.ingress.authentication import IngressRefusal
+from cranklane.sidecar.request.attempt import Reply
+from cranklane.sidecar.request.decision import Decision
+from cranklane.sidecar.request.identity import Identity
+from cranklane.sidecar.routing.destinations import Destination
+from cranklane.sidecar.routing.dispatcher import Call
+from cranklane.sidecar.telemetry.metrics import SidecarMetrics
+from cranklane.sidecar.telemetry.request_summary import End, RequestSummary, end_of
+from cranklane.sidecar.worker.end import WorkerEnd
 
 PROBLEM_LINES_PER_SECOND = 100.0
 SUCCESS_LINES_PER_SECOND = 10.0
--- a/src/cranklane/sidecar/metrics.py
+++ b/src/cranklane/sidecar/telemetry/metrics.py
@@ -15,7 +15,7 @@
 
 from cranklane.common.metrics_server import GaugeRegistry
 from cranklane.outcome import Outcome, Reason
-from cranklane.sidecar.slot_work import SlotWork
+from cranklane.sidecar.request.slot_work import SlotWork
 
 _SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 
--- a/src/cranklane/sidecar/request_summary.py
+++ b/src/cranklane/sidecar/telemetry/request_summary.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from cranklane.outcome import Outcome, Reason
-from cranklane.sidecar.decision import Decision
+from cranklane.sidecar.request.decision import Decision
 
 LINE_SECONDS = 1.0
 """Seconds that one line covers: short enough to tell a fault from what follows it."""
--- a/src/cranklane/sidecar/worker_api.py
+++ b/src/cranklane/sidecar/worker/api.py
@@ -14,7 +14,7 @@
 from result import Err, Ok, Result
 
 from cranklane.common.small_http import SmallAnswer
-from cranklane.sidecar.worker_registry import WorkerHeartbeat, WorkerPhase, WorkerRegistry
+from cranklane.sidecar.worker.registry import WorkerHeartbeat, WorkerPhase, WorkerRegistry
 
 READY_PATH = "/v1/ready"
 INSTANCES_PATH = "/v1/instances/"
--- a/src/cranklane/sidecar/worker_condition.py
+++ b/src/cranklane/sidecar/worker/condition.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cranklane.sidecar.fault_share import FaultShare, faded
-from cranklane.sidecar.slowness import TOLERATED, Slowness, faded_ratio
+from cranklane.sidecar.worker.fault_share import FaultShare, faded
+from cranklane.sidecar.worker.slowness import TOLERATED, Slowness, faded_ratio
 
 FAULTS_APART = 0.15
 """Difference of two shares of failed runs from which callers are told."""
--- a/src/cranklane/sidecar/worker_end.py
+++ b/src/cranklane/sidecar/worker/end.py
@@ -15,9 +15,9 @@
 
 from cranklane.records.messages import ForwardRequest
 from cranklane.runtime.interface import Address, Runtime
-from cranklane.sidecar.request_identity import Identity, identity_of
-from cranklane.sidecar.worker_pool import WorkerConnection, WorkerPool
-from cranklane.sidecar.worker_registry import WorkerRegistry, WorkerState
+from cranklane.sidecar.request.identity import Identity, identity_of
+from cranklane.sidecar.worker.pool import WorkerConnection, WorkerPool
+from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
 
 CONNECT_SECONDS = 0.05
 """A worker on the same machine takes a connection at once, or is no proof of its end."""
--- a/src/cranklane/sidecar/worker_exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -19,14 +19,14 @@
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.runtime.interface import Runtime
-from cranklane.sidecar.attempt import (
+from cranklane.sidecar.request.attempt import (
     SMALL_BODY_BYTES,
     Attempt,
     Reply,
     refusal,
     unknown,
 )
-from cranklane.sidecar.worker_pool import WorkerConnection, WorkerPool
+from cranklane.sidecar.worker.pool import WorkerConnection, WorkerPool
 
 INLINE_SEND_BYTES = 16 * 1024
 """A request up to this size is written before its answer is read."""
--- a/src/cranklane/sidecar/worker_probe.py
+++ b/src/cranklane/sidecar/worker/probe.py
@@ -19,7 +19,7 @@
 )
 from cranklane.common.request_names import HeaderNames
 from cranklane.runtime.interface import Address, Runtime, format_address
-from cranklane.sidecar.worker_pool import MAX_HEAD_BYTES
+from cranklane.sidecar.worker.pool import MAX_HEAD_BYTES
 
 PROBE_SECONDS = 0.5
 """Most seconds for a connection, and for an answer."""
--- a/src/cranklane/sidecar/worker_registry.py
+++ b/src/cranklane/sidecar/worker/registry.py
@@ -15,12 +15,12 @@
 
 import gevent
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.outcome import Reason
 from cranklane.runtime.interface import Address, Runtime, parse_address
-from cranklane.sidecar.slots import Slots
-from cranklane.sidecar.worker_pool import WorkerPool
-from cranklane.sidecar.worker_probe import ProbedWorker
+from cranklane.sidecar.admission.slots import Slots
+from cranklane.sidecar.worker.pool import WorkerPool
+from cranklane.sidecar.worker.probe import ProbedWorker
 
 USABLE_PART = 0.95
 """Part of its slots that a worker is given: some get slower when nearly full."""
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -14,12 +14,12 @@
 from itertools import count
 from random import Random
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Member, MemberDelta
-from cranklane.sidecar.attempt import Load
-from cranklane.sidecar.destinations import Destination, Destinations
-from cranklane.sidecar.slowness import TypicalTimes, ratio_to
-from cranklane.sidecar.worker_condition import Condition, WorkerCondition
+from cranklane.sidecar.request.attempt import Load
+from cranklane.sidecar.routing.destinations import Destination, Destinations
+from cranklane.sidecar.worker.condition import Condition, WorkerCondition
+from cranklane.sidecar.worker.slowness import TypicalTimes, ratio_to
 
 SERVICE = "service"
 ROUTE = "route"
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -14,23 +14,23 @@
 
 from result import Ok
 
-from cranklane.control.publisher import Publisher, Subscriber
 from cranklane.control.store import ConfigurationStore
+from cranklane.distribution.member_state import MemberState
+from cranklane.distribution.publisher import Publisher, Subscriber
+from cranklane.distribution.subscription import Subscription
 from cranklane.ledger.store import LedgerDecision, LedgerStore
 from cranklane.node import balancer as balancer_module
 from cranklane.node.admission import Admission
 from cranklane.node.allowance import Allowance
 from cranklane.node.balancer import Balancer
 from cranklane.node.concurrency import ConcurrencyLimit
-from cranklane.node.configuration import NodeConfiguration
 from cranklane.node.fair_queue import FairQueue
-from cranklane.node.members import MemberState
 from cranklane.node.outbound import Outbound
 from cranklane.node.peer_connection import PeerCall, PeerConnection
 from cranklane.node.process import NodeProcess
 from cranklane.node.retry_budget import RetryBudget
-from cranklane.node.subscription import Subscription
 from cranklane.outcome import Criticality
+from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane.records.connection import CONNECTION_CALL
 from cranklane.records.messages import AnswerAbort, AnswerEnd, Credit, LedgerGrant
 from cranklane.replication.leadership import Leadership
@@ -166,9 +166,9 @@
 
 
 def _any_order() -> list[Replacement]:
-    original = NodeConfiguration.adopt
+    original = AdoptedPolicy.adopt
 
-    def adopt(self: NodeConfiguration, delta: Any) -> bool:
+    def adopt(self: AdoptedPolicy, delta: Any) -> bool:
         self.version = 0 if delta.whole else delta.base
         return original(self, delta)
 
@@ -186,7 +186,7 @@
         self.sent_version = 0
 
     return [
-        Replacement(NodeConfiguration, "adopt", adopt),
+        Replacement(AdoptedPolicy, "adopt", adopt),
         Replacement(Subscription, "_adopt", take),
         Replacement(Subscriber, "__init__", init),
     ]
--- a/src/cranklane_lab/simulation/mesh.py
+++ b/src/cranklane_lab/simulation/mesh.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from cranklane.control.controller import Controller, ControllerSettings
+from cranklane.controller.process import Controller, ControllerSettings
 from cranklane.runtime.interface import Address, format_address
 from cranklane.sidecar.process import Sidecar, SidecarSettings
 from cranklane_lab.simulation.process import SimulatedProcess
--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -6,9 +6,9 @@
 
 import gevent
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Member
-from cranklane.sidecar.destinations import FULL_SECONDS, Destinations
+from cranklane.sidecar.routing.destinations import FULL_SECONDS, Destinations
 from cranklane_lab.simulation.mesh import Mesh, route_table
 from cranklane_lab.simulation.world import simulate
 
--- a/tests/test_early_refusal.py
+++ b/tests/test_early_refusal.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from cranklane.node.configuration import Service
 from cranklane.node.members import MemberTable
 from cranklane.node.outbound import EARLY_REFUSAL_MEMORY, Outbound
 from cranklane.outcome import Criticality
+from cranklane.policy.adopted_policy import Service
 from cranklane.records.messages import Member, MemberDelta
 
 SERVICE = Service("t", "s", 8, 64, False, 0.1, frozenset(), frozenset(), (), ())
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -20,28 +20,28 @@
 import test_route_rows
 import test_subsets
 import test_worker_condition
-from cranklane.control.publisher import _NewestFrames
-from cranklane.control.route_store import RouteTableStore
-from cranklane.control.row_changes import RowChanges
+from cranklane.controller.route_store import RouteTableStore
+from cranklane.controller.row_changes import RowChanges
+from cranklane.distribution.publisher import _NewestFrames
 from cranklane.outcome import Outcome
 from cranklane.replication.election import Election
 from cranklane.replication.log import Log
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
 from cranklane.routes.splitter import Splitter
-from cranklane.sidecar import destinations
-from cranklane.sidecar.call_tree import CallTree
-from cranklane.sidecar.destinations import Destination, Destinations
-from cranklane.sidecar.dispatcher import Dispatcher
-from cranklane.sidecar.fault_share import FaultShare
-from cranklane.sidecar.hang_up import HangUpWatch
-from cranklane.sidecar.outcome_limiter import OutcomeLimiter
+from cranklane.sidecar.admission.outcome_limiter import OutcomeLimiter
+from cranklane.sidecar.ingress.hang_up import HangUpWatch
 from cranklane.sidecar.process import Sidecar
-from cranklane.sidecar.retry_budget import RetryBudget
-from cranklane.sidecar.worker_condition import Condition, WorkerCondition
-from cranklane.sidecar.worker_exchange import WorkerExchange
-from cranklane.sidecar.worker_probe import WorkerProbe
-from cranklane.sidecar.worker_registry import WorkerRegistry
+from cranklane.sidecar.request.call_tree import CallTree
+from cranklane.sidecar.routing import destinations
+from cranklane.sidecar.routing.destinations import Destination, Destinations
+from cranklane.sidecar.routing.dispatcher import Dispatcher
+from cranklane.sidecar.routing.retry_budget import RetryBudget
+from cranklane.sidecar.worker.condition import Condition, WorkerCondition
+from cranklane.sidecar.worker.exchange import WorkerExchange
+from cranklane.sidecar.worker.fault_share import FaultShare
+from cranklane.sidecar.worker.probe import WorkerProbe
+from cranklane.sidecar.worker.registry import WorkerRegistry
 
 
 def first_answer(self, request, connection):
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -10,7 +10,7 @@
 from cranklane.control import backup
 from cranklane.control.process import ControlProcess, ControlSettings
 from cranklane.errors import DamagedLogError
-from cranklane.node.configuration import NodeConfiguration
+from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane_lab.simulation.world import simulate
 from cranklane_lab.standins.operator import SimulatedOperator
 
@@ -211,7 +211,7 @@
         for share in range(20, 30):
             text = f"tenant a {{\n  share {share}\n}}"
             version = operator.edit("a", text, version, f"r{share}").media["version"]
-        node = NodeConfiguration()
+        node = AdoptedPolicy()
         node.adopt(control.process.store.delta(0))
 
         machine = control.world.process("other", "z")
--- a/tests/test_outcome_limiter.py
+++ b/tests/test_outcome_limiter.py
@@ -1,6 +1,6 @@
 """The part that is admitted follows how runs end, the least important first."""
 
-from cranklane.sidecar.outcome_limiter import LEAST_PART, OutcomeLimiter
+from cranklane.sidecar.admission.outcome_limiter import LEAST_PART, OutcomeLimiter
 
 CALLERS = ("a", "b", "c")
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -7,7 +7,7 @@
 import tomllib
 from pathlib import Path
 
-from cranklane.control.controller import ControllerSettings
+from cranklane.controller.process import ControllerSettings
 from cranklane.settings import load
 from cranklane.sidecar.process import SidecarSettings
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -4,8 +4,8 @@
 
 from cranklane.cli.explain import explain_target
 from cranklane.errors import PolicyError
-from cranklane.node.configuration import NodeConfiguration
 from cranklane.outcome import Criticality, Repeat
+from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane.policy.compiler import compile_policy
 from cranklane.policy.syntax import parse
 from cranklane.records.messages import ConfigDelta, ConfigRow
@@ -26,9 +26,9 @@
 """
 
 
-def compiled(text: str) -> NodeConfiguration:
+def compiled(text: str) -> AdoptedPolicy:
     rows = [ConfigRow(1, key, value) for key, value in compile_policy(parse(text)).items()]
-    configuration = NodeConfiguration()
+    configuration = AdoptedPolicy()
     configuration.adopt(ConfigDelta(0, 1, True, rows))
     return configuration
 
--- a/tests/test_publisher_frames.py
+++ b/tests/test_publisher_frames.py
@@ -4,9 +4,9 @@
 
 import gevent
 
-from cranklane.control.membership import Membership
-from cranklane.control.publisher import _NewestFrames
-from cranklane.control.route_store import RouteTableStore
+from cranklane.controller.route_store import RouteTableStore
+from cranklane.distribution.membership import Membership
+from cranklane.distribution.publisher import _NewestFrames
 from cranklane_lab.simulation.mesh import route_table
 from mesh_support import ROUTES, play
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -5,7 +5,7 @@
 import pytest
 
 from cranklane.records.messages import QuarantineEntry
-from cranklane.sidecar.quarantine import (
+from cranklane.sidecar.quarantine.table import (
     FIRST_HOLD_SECONDS,
     LONG_HOLD_SECONDS,
     MOST_HELD,
@@ -16,7 +16,7 @@
     Standing,
     end_id,
 )
-from cranklane.sidecar.request_identity import identity_of
+from cranklane.sidecar.request.identity import identity_of
 
 GUILTY = b"g" * 16
 BESIDE = b"b" * 16
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -6,11 +6,12 @@
 import pytest
 
 from cranklane.records.messages import Member, MemberDelta
-from cranklane.sidecar import gate, lone_runs, quarantine
-from cranklane.sidecar.lone_runs import SuspectAdmission
-from cranklane.sidecar.quarantine import Quarantine
-from cranklane.sidecar.quarantine_spread import QuarantineSpread
-from cranklane.sidecar.sidecar_directory import KEPT_SECONDS, SidecarDirectory
+from cranklane.sidecar.admission import gate, lone_runs
+from cranklane.sidecar.admission.lone_runs import SuspectAdmission
+from cranklane.sidecar.quarantine import table as quarantine
+from cranklane.sidecar.quarantine.sidecar_directory import KEPT_SECONDS, SidecarDirectory
+from cranklane.sidecar.quarantine.spread import QuarantineSpread
+from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane_lab.simulation.crashes import CrashingRequests
 from mesh_support import play
 from test_crashing_requests import FLEET, Innocents, held, repeat
--- a/tests/test_quarantine_operators.py
+++ b/tests/test_quarantine_operators.py
@@ -9,8 +9,8 @@
 
 from cranklane.common.secret_digest import secret_digest
 from cranklane.common.small_http import SmallAnswer
-from cranklane.sidecar.quarantine import Quarantine, Standing
-from cranklane.sidecar.quarantine_api import QuarantineApi
+from cranklane.sidecar.quarantine.api import QuarantineApi
+from cranklane.sidecar.quarantine.table import Quarantine, Standing
 from cranklane_lab.simulation.crashes import CrashingRequests
 from cranklane_lab.standins.raw_http import exchange
 from mesh_support import play
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -9,7 +9,7 @@
 from result import Ok
 
 from cranklane.control.process import STALE_SECONDS
-from cranklane.control.publisher import Publisher
+from cranklane.distribution.publisher import Publisher
 from cranklane.replication import replica as replica_module
 from cranklane.replication.membership_change import ChangeFailure
 from cranklane_lab.deployments import chain
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cranklane.sidecar.retry_budget import FleetSize, RetryBound, RetryBudget
+from cranklane.sidecar.routing.retry_budget import FleetSize, RetryBound, RetryBudget
 
 BOUND = RetryBound(ratio=0.2, slack=213.0, window=10.0)
 STEP = 0.5
--- a/tests/test_route_rows.py
+++ b/tests/test_route_rows.py
@@ -9,11 +9,11 @@
 import pytest
 
 from cranklane.common.logs import logger
-from cranklane.control.route_store import RouteTableStore
-from cranklane.control.row_changes import SPARE_DELETIONS, RowChanges
+from cranklane.controller.route_store import RouteTableStore
+from cranklane.controller.row_changes import SPARE_DELETIONS, RowChanges
 from cranklane.records.messages import RouteTableCommand
 from cranklane.routes.document import pack_document, read_json, read_table
-from cranklane.sidecar.adopted_table import AdoptedTable
+from cranklane.sidecar.table.adopted_table import AdoptedTable
 from cranklane_lab.simulation.mesh import Mesh, route_table
 from cranklane_lab.simulation.world import simulate
 
--- a/tests/test_sidecar_metrics.py
+++ b/tests/test_sidecar_metrics.py
@@ -3,7 +3,7 @@
 from types import SimpleNamespace
 
 from cranklane.outcome import Outcome, Reason
-from cranklane.sidecar.metrics import SidecarMetrics
+from cranklane.sidecar.telemetry.metrics import SidecarMetrics
 
 
 def test_counters_and_histograms_are_told_as_they_were_counted():
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -3,9 +3,9 @@
 import gevent
 
 from cranklane.outcome import Reason
-from cranklane.sidecar import slots as module
-from cranklane.sidecar.gate import HeldAnswer
-from cranklane.sidecar.slots import Slots
+from cranklane.sidecar.admission import slots as module
+from cranklane.sidecar.admission.gate import HeldAnswer
+from cranklane.sidecar.admission.slots import Slots
 from cranklane_lab.simulation.loop import run_virtual
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -12,8 +12,8 @@
 import gevent
 
 from cranklane.control import backup
-from cranklane.control.controller import Controller, ControllerSettings
 from cranklane.control.process import ControlProcess, ControlSettings
+from cranklane.controller.process import Controller, ControllerSettings
 from cranklane.ledger.process import LedgerProcess, LedgerSettings
 from cranklane.ledger.store import LedgerDecision
 from cranklane.node.process import NodeProcess, NodeSettings
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Member, MemberDelta
-from cranklane.sidecar.attempt import Load
-from cranklane.sidecar.destinations import CHOICES, OWN_ZONE_CHOICES, Destinations
+from cranklane.sidecar.request.attempt import Load
+from cranklane.sidecar.routing.destinations import CHOICES, OWN_ZONE_CHOICES, Destinations
 from cranklane_lab.evidence.trial import ZONES
 
 CALLERS = 195
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -13,9 +13,9 @@
 import test_ledger
 import test_replication
 import test_tenants
-from cranklane.control import confirmation
+from cranklane.controller import confirmation
 from cranklane.runtime.real import RealRuntime
-from cranklane.sidecar.tenant_quota import NEWS_SECONDS
+from cranklane.sidecar.admission.tenant_quota import NEWS_SECONDS
 from cranklane_lab.simulation.process import SimulatedProcess
 from mesh_support import play, runs
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -12,15 +12,16 @@
 from typer.testing import CliRunner
 
 from cranklane.cli.main import application
-from cranklane.control.fleet_quotas import FleetCount, FleetQuotas
+from cranklane.controller.fleet_quotas import FleetCount, FleetQuotas
 from cranklane.records.messages import TenantUsage
 from cranklane.routes.document import read_json, read_table
 from cranklane.routes.rows import rows_of, with_rows
 from cranklane.routes.table import RouteTable
 from cranklane.routes.tenants import Tenant
-from cranklane.sidecar import table_lease, tenant_quota
-from cranklane.sidecar.table_lease import TableLease
-from cranklane.sidecar.tenant_quota import OWN_DEPTH, TenantQuota
+from cranklane.sidecar.admission import tenant_quota
+from cranklane.sidecar.admission.tenant_quota import OWN_DEPTH, TenantQuota
+from cranklane.sidecar.table import table_lease
+from cranklane.sidecar.table.table_lease import TableLease
 from cranklane_lab.simulation.mesh import Mesh, route_table
 from cranklane_lab.simulation.world import simulate
 from cranklane_lab.standins.raw_http import exchange
--- a/tests/test_trees.py
+++ b/tests/test_trees.py
@@ -6,7 +6,8 @@
 
 import pytest
 
-from cranklane.sidecar import dispatcher, slots
+from cranklane.sidecar.admission import slots
+from cranklane.sidecar.routing import dispatcher
 from cranklane_lab.trees.drawn import MOST_CALLS, capacity_of, draw, most_worth
 from cranklane_lab.trees.play import play
 
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -8,10 +8,10 @@
 import gevent
 import pytest
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Member, MemberDelta
-from cranklane.sidecar.destinations import Destinations
-from cranklane.sidecar.worker_condition import TELL_SECONDS, WELL, Condition, WorkerCondition
+from cranklane.sidecar.routing.destinations import Destinations
+from cranklane.sidecar.worker.condition import TELL_SECONDS, WELL, Condition, WorkerCondition
 from cranklane_lab.evidence.report import run_evidence
 from cranklane_lab.evidence.trial import Shape, Trial
 from mesh_support import play
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -4,10 +4,10 @@
 
 from random import Random
 
-from cranklane.node.members import MemberState
+from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Member
-from cranklane.sidecar.attempt import Load
-from cranklane.sidecar.destinations import Destinations
+from cranklane.sidecar.request.attempt import Load
+from cranklane.sidecar.routing.destinations import Destinations
 
 SLOTS = 20
 
