--- a/src/cranklane/controller/fleet_quotas.py
+++ b/src/cranklane/controller/fleet_quotas.py
@@ -17,6 +17,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
+from cranklane.common.units import MICROSECONDS
 from cranklane.records.messages import TenantShare, TenantUsage, UsageTotals
 from cranklane.routes.tenants import Tenant
 
@@ -136,7 +137,7 @@
         self._tenants = tenants
         self._fleet = fleet
         self._slack = slack
-        self._began_us = int(clock() * 1_000_000) + 1
+        self._began_us = int(clock() * MICROSECONDS) + 1
         self._stepped_at = clock()
         # In the order of their changes, so that a reader sees only what is new.
         self._counts: OrderedDict[str, _Count] = OrderedDict()
--- a/src/cranklane/controller/sidecar_service.py
+++ b/src/cranklane/controller/sidecar_service.py
@@ -10,6 +10,7 @@
 
 import gevent
 
+from cranklane.common.units import MICROSECONDS
 from cranklane.controller.confirmation import Confirmation
 from cranklane.controller.fleet_quotas import STEP_SECONDS, FleetQuotas
 from cranklane.records.connection import RecordConnection
@@ -21,8 +22,6 @@
     UsageTotals,
 )
 
-MICROSECONDS = 1_000_000
-
 
 class SidecarService:
     """Answers and shares of one control process.
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -9,6 +9,7 @@
 import gevent
 
 from cranklane.common.sealed import seal, unseal
+from cranklane.common.units import MICROSECONDS
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import (
@@ -47,7 +48,7 @@
 MIN_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 3.0
 
-MICROSECONDS = 1_000_000
+
 _FILE = "configuration"
 
 
--- a/src/cranklane/node/inbound.py
+++ b/src/cranklane/node/inbound.py
@@ -12,6 +12,7 @@
 
 from cranklane.common.headers import HOP_BY_HOP, is_own
 from cranklane.common.http_client import HttpResponse
+from cranklane.common.units import MICROSECONDS
 from cranklane.errors import AnswerCutError, ConnectionLostError, MalformedRecordError
 from cranklane.ledger.store import MAX_STORED_BODY
 from cranklane.node.admission import Admission, Refusal, Slot
@@ -142,7 +143,7 @@
             in_flight=admission.in_flight,
             queued=admission.queued,
             limit=admission.concurrency.limit,
-            wait_us=int(admission.expected_wait() * 1_000_000),
+            wait_us=int(admission.expected_wait() * MICROSECONDS),
             draining=admission.draining,
             version=self._configuration.version,
         )
@@ -227,7 +228,7 @@
             reason=reason,
             in_flight=admission.in_flight + admission.queued,
             limit=admission.concurrency.limit,
-            wait_us=int(admission.expected_wait() * 1_000_000),
+            wait_us=int(admission.expected_wait() * MICROSECONDS),
             refused_below=admission.refused_below(call.context.tenant),
             draining=admission.draining,
         )
--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -11,6 +11,7 @@
 from typing import Any
 
 from cranklane.common.request_names import HeaderNames
+from cranklane.common.units import MICROSECONDS
 from cranklane.errors import AnswerCutError
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
@@ -42,7 +43,7 @@
 EARLY_RETRY_AFTER_MS = 400
 """When a request may come again that is refused because others like it fail."""
 
-MICROSECONDS = 1_000_000
+
 """In one second."""
 
 _SERVER_ERROR = 500
--- a/src/cranklane/sidecar/admission/lone_runs.py
+++ b/src/cranklane/sidecar/admission/lone_runs.py
@@ -13,6 +13,7 @@
 
 from gevent.event import Event
 
+from cranklane.common.units import MILLISECONDS
 from cranklane.outcome import Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.sidecar.admission.slots import Slots, Waiter
@@ -20,8 +21,6 @@
 from cranklane.sidecar.request.identity import Identity
 from cranklane.sidecar.worker.end import identity_of_request
 
-MILLISECONDS = 1000
-
 SEEN_ONCE = 1
 """Level of a suspect that ran beside others at one worker that ended."""
 
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -11,6 +11,7 @@
 from cranklane.common.metrics_server import MetricsServer
 from cranklane.common.request_names import HeaderNames
 from cranklane.common.small_http import SmallHttp
+from cranklane.common.units import MICROSECONDS
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.subscription import FollowTiming, Subscription
 from cranklane.records.messages import (
@@ -69,7 +70,6 @@
 """Time over which tenants' usage is gathered before control is told. In a model of 71
 sidecars a surge of 7.5 times stays within its bound with news up to 0.3 s old."""
 
-MICROSECONDS = 1_000_000
 
 STOP_MARGIN_SECONDS = 0.5
 STOP_LOOK_SECONDS = 0.05
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -13,12 +13,13 @@
 import gevent
 
 from cranklane.common.http1 import Framing
+from cranklane.common.units import MICROSECONDS
 from cranklane.distribution.member_state import MemberState
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.routes.table import Route
 from cranklane.runtime.interface import Runtime
-from cranklane.sidecar.admission.gate import MICROSECONDS, Gate, tells_its_time
+from cranklane.sidecar.admission.gate import Gate, tells_its_time
 from cranklane.sidecar.quarantine.table import Quarantine, Standing
 from cranklane.sidecar.request.attempt import Attempt, BodyReader, Reply, refusal
 from cranklane.sidecar.request.call_tree import Root
