--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -16,6 +16,7 @@
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.runtime.interface import Runtime
+from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.admission.lone_runs import LoneRuns, SuspectAdmission
 from cranklane.sidecar.admission.outcome_limiter import OutcomeLimiter
 from cranklane.sidecar.admission.slots import Slots, Waiter
@@ -35,17 +36,6 @@
 from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
 from cranklane.sidecar.worker.slowness import ratio_to
 
-MIN_RETRY_AFTER_MS = 50
-
-MAX_RETRY_AFTER_SECONDS = 5.0
-"""A client is never told to come back later than this: what is known is too old by then."""
-
-EARLY_RETRY_AFTER_MS = 400
-"""When a request may come again that is refused because others like it fail."""
-
-
-"""In one second."""
-
 _SERVER_ERROR = 500
 _GATEWAY_TIMEOUT = 504
 _ENDED = (Reason.WORKER_ENDED, Reason.WORKER_LEFT)
@@ -186,7 +176,9 @@
             started_at - arrived_at,
         )
         if reason is not Reason.NONE:
-            after = admission.retry_after_ms or self._retry_after_ms(reason)
+            after = admission.retry_after_ms or retry_after.at_worker_ms(
+                reason, self._expected_wait
+            )
             return refusal(reason, retry_after_ms=after)
         return self._run_admitted(attempt, on_admitted, arrived_at, started_at, admission)
 
@@ -291,7 +283,9 @@
         reply = unknown(Reason.WORKER_ENDED)
         identity = identity_of_request(request)
         if self._quarantine.standing(identity) is Standing.HELD:
-            reply.retry_after_ms = int(self._quarantine.seconds_left(identity) * 1000) + 1
+            reply.retry_after_ms = retry_after.quarantined_ms(
+                self._quarantine.seconds_left(identity)
+            )
         return reply
 
     def _answered(self, request: ForwardRequest) -> None:
@@ -325,11 +319,9 @@
         if lone is not None:
             self._lone_runs.release(lone, held_seconds)
 
-    def _retry_after_ms(self, reason: Reason) -> int:
-        if reason is Reason.REFUSED_EARLY:
-            return EARLY_RETRY_AFTER_MS
-        wait = self._slots.expected_wait(self._slots.rank(0, 0.0))
-        return max(MIN_RETRY_AFTER_MS, int(min(wait, MAX_RETRY_AFTER_SECONDS) * 1000))
+    def _expected_wait(self) -> float:
+        """Return the seconds until a request of the highest priority would start."""
+        return self._slots.expected_wait(self._slots.rank(0, 0.0))
 
 
 def tells_its_time(reply: Reply) -> bool:
--- a/src/cranklane/sidecar/admission/lone_runs.py
+++ b/src/cranklane/sidecar/admission/lone_runs.py
@@ -16,6 +16,7 @@
 from cranklane.common.units import MILLISECONDS
 from cranklane.outcome import Reason
 from cranklane.records.messages import ForwardRequest
+from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.admission.slots import Slots, Waiter
 from cranklane.sidecar.quarantine.table import Quarantine, Standing
 from cranklane.sidecar.request.identity import Identity
@@ -80,8 +81,8 @@
         if standing is Standing.CLEAR:
             return _UNSUSPECTED
         if standing is Standing.HELD:
-            left = int(self._quarantine.seconds_left(identity) * MILLISECONDS)
-            return SuspectAdmission(Reason.QUARANTINED, retry_after_ms=left + 1)
+            left_ms = retry_after.quarantined_ms(self._quarantine.seconds_left(identity))
+            return SuspectAdmission(Reason.QUARANTINED, retry_after_ms=left_ms)
         return None
 
     def _after_copy(
--- a/src/cranklane/sidecar/admission/tenant_quota.py
+++ b/src/cranklane/sidecar/admission/tenant_quota.py
@@ -18,6 +18,7 @@
 
 from cranklane.records.messages import TenantShare, TenantUsage
 from cranklane.routes.tenants import Tenant
+from cranklane.sidecar.admission.retry_after import ADMITTED_ALL_PERMILLE
 
 NEWS_SECONDS = 1.2
 """Age of control's last answer up to which its word is followed: twice the time between
@@ -28,12 +29,6 @@
 sidecars and 26 requests/s of a tenant, fewer than 1 in 1,000 is refused in 2 s (Poisson
 arrivals, worked out)."""
 
-LEAST_RETRY_MS = 200
-MOST_RETRY_MS = 5000
-"""Bounds of the time after which a tenant over its limit is asked to come back."""
-
-_FULL = 1000
-
 
 @dataclass(slots=True)
 class _Account:
@@ -46,7 +41,7 @@
 
     credit: float
     filled_at: float
-    permille: int = _FULL
+    permille: int = ADMITTED_ALL_PERMILLE
     tokens: float = OWN_DEPTH
     offered: int = 0
     admitted: int = 0
@@ -83,7 +78,7 @@
         """
         if whole:
             for account in self._accounts.values():
-                account.permille = _FULL
+                account.permille = ADMITTED_ALL_PERMILLE
         for share in shares:
             self._account(share.tenant).permille = share.permille
 
@@ -113,18 +108,13 @@
     def permille(self, tenant: str) -> int:
         """Return the part of a tenant's requests that is admitted, in thousandths."""
         account = self._accounts.get(tenant)
-        return account.permille if account is not None else _FULL
-
-    def retry_after_ms(self, tenant: Tenant) -> int:
-        """Return when a tenant over its limit may come back: its excess must have passed."""
-        part = max(1, self.permille(tenant.name)) / _FULL
-        return int(min(MOST_RETRY_MS, max(LEAST_RETRY_MS, (1 / part - 1) * 1000)))
+        return account.permille if account is not None else ADMITTED_ALL_PERMILLE
 
     @staticmethod
     def _within_part(account: _Account) -> bool:
-        if account.permille >= _FULL:
+        if account.permille >= ADMITTED_ALL_PERMILLE:
             return True
-        account.credit += account.permille / _FULL
+        account.credit += account.permille / ADMITTED_ALL_PERMILLE
         if account.credit < 1:
             return False
         account.credit -= 1
--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -12,15 +12,12 @@
 from cranklane.outcome import Reason
 from cranklane.routes.table import Route, RouteTable
 from cranklane.routes.tenants import Tenant
+from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.admission.tenant_quota import TenantQuota
 from cranklane.sidecar.request.attempt import Reply, refusal
 from cranklane.sidecar.request.call_tree import ID_SEPARATOR, Run
 from cranklane.sidecar.table.table_lease import TableLease
 
-STALE_RETRY_AFTER_MS = 500
-"""When a request may come again that is refused since the table may be out of date: a
-sidecar asks control about twice in that time."""
-
 
 @dataclass(frozen=True, slots=True)
 class Caller:
@@ -85,12 +82,12 @@
         if key is None:
             return self._identify_call(request, table, route, run)
         if not self._lease.holds:
-            return self._refused(request, Reason.TABLE_STALE, None, STALE_RETRY_AFTER_MS)
+            return self._refused(request, Reason.TABLE_STALE, None, retry_after.UNCERTAIN_MS)
         tenant = table.tenants.holder_of(key)
         if tenant is None:
             return self._refused(request, Reason.UNAUTHENTICATED, None)
         if not self._quota.admits(tenant):
-            after = self._quota.retry_after_ms(tenant)
+            after = retry_after.over_quota_ms(self._quota.permille(tenant.name))
             return self._refused(request, Reason.QUOTA_EXCEEDED, tenant, after)
         limited = tenant.rate_per_second > 0
         return Ok(Caller(tenant.name, table.priority_of(route, tenant), limited))
@@ -103,7 +100,7 @@
             return Ok(Caller(run.tenant, table.priority_of(route, None)))
         if ID_SEPARATOR in request:
             # It may be a call of a run that began before this process was started.
-            return self._refused(request, Reason.CALL_UNTIED, None, STALE_RETRY_AFTER_MS)
+            return self._refused(request, Reason.CALL_UNTIED, None, retry_after.UNCERTAIN_MS)
         return self._refused(request, Reason.UNAUTHENTICATED, None)
 
     def _refused(
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -26,6 +26,7 @@
 from cranklane.routes.splitter import Splitter
 from cranklane.routes.table import Route, RouteTable
 from cranklane.runtime.interface import Address, Runtime
+from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.ingress.authentication import Authentication, Caller, identity_line
 from cranklane.sidecar.ingress.caller_connection import CallerConnection
 from cranklane.sidecar.ingress.hang_up import HangUpWatch
@@ -33,12 +34,7 @@
 from cranklane.sidecar.request.call_tree import CallFailure, CallTree, Root, Run
 from cranklane.sidecar.request.decision import Decision
 from cranklane.sidecar.request.slot_work import SlotWork
-from cranklane.sidecar.routing.dispatcher import (
-    DEFAULT_RETRY_AFTER_MS,
-    NO_ROOM,
-    Call,
-    Dispatcher,
-)
+from cranklane.sidecar.routing.dispatcher import NO_ROOM, Call, Dispatcher
 
 WRITE_SECONDS = 10.0
 """A caller that takes no bytes for this long is given up."""
@@ -46,9 +42,6 @@
 _HEADER_TOO_LARGE = 431
 _BODY_TOO_LARGE = 413
 _REQUEST_TIMEOUT = 408
-_COME_BACK = (429, 503)
-"""Statuses of answers that tell when the request may come again."""
-
 _BAD_REQUEST = 400
 _FIRST_ERROR = 500
 _BODY_READ = 0
@@ -183,7 +176,7 @@
     def _route(self, head: RequestHead, table: RouteTable) -> tuple[Route | None, Reply | None]:
         """Return a request's route, or the answer when there is none."""
         if table.version == 0:
-            return None, refusal(Reason.NO_CONFIGURATION, retry_after_ms=DEFAULT_RETRY_AFTER_MS)
+            return None, refusal(Reason.NO_CONFIGURATION, retry_after_ms=retry_after.DEFAULT_MS)
         hosts = [value for name, value in head.headers if name.lower() == b"host"]
         path = _path_of(head.target)
         if len(hosts) != 1 or path is None:
@@ -305,9 +298,8 @@
 
     def _own_lines(self, request: bytes, reply: Reply) -> bytes:
         lines = b"%s: %s\r\n" % (self._names.request, request) if request else b""
-        if status_of(reply.outcome, reply.reason) in _COME_BACK:
-            after = reply.retry_after_ms or DEFAULT_RETRY_AFTER_MS
-            lines += b"Retry-After: %.3f\r\n" % (after / 1000)
+        if status_of(reply.outcome, reply.reason) in retry_after.STATUSES:
+            lines += retry_after.header_line(reply.retry_after_ms)
         return lines
 
     def _write_answer(
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -19,6 +19,7 @@
 from cranklane.records.messages import ForwardRequest
 from cranklane.routes.table import Route
 from cranklane.runtime.interface import Runtime
+from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.admission.gate import Gate, tells_its_time
 from cranklane.sidecar.quarantine.table import Quarantine, Standing
 from cranklane.sidecar.request.attempt import Attempt, BodyReader, Reply, refusal
@@ -51,8 +52,6 @@
 MEMBER_PART = 0.2
 """Part of its objective that a request may wait for a first worker of its service."""
 
-DEFAULT_RETRY_AFTER_MS = 200
-
 PROBE_SECONDS = 0.5
 """Seconds between tries to connect to a destination that could not be reached."""
 
@@ -156,7 +155,7 @@
         held = self._held(call)
         if held is not None:
             return held
-        result = refusal(Reason.NO_MEMBERS, retry_after_ms=DEFAULT_RETRY_AFTER_MS)
+        result = refusal(Reason.NO_MEMBERS, retry_after_ms=retry_after.DEFAULT_MS)
         may_have_run = False
         answered: Reply | None = None
         while True:
@@ -164,7 +163,7 @@
             destination = self._choose(call)
             if destination is None:
                 if not call.tried and self._destinations.all_full(call.service, priority):
-                    result = refusal(Reason.QUEUE_FULL, retry_after_ms=DEFAULT_RETRY_AFTER_MS)
+                    result = refusal(Reason.QUEUE_FULL, retry_after_ms=retry_after.DEFAULT_MS)
                 elif not call.tried and self._member_comes(call):
                     continue
                 break
@@ -197,7 +196,7 @@
             return None
         left = self._quarantine.seconds_left(identity)
         self._on_quarantined(call, identity, left)
-        return refusal(Reason.QUARANTINED, retry_after_ms=_milliseconds(left) + 1)
+        return refusal(Reason.QUARANTINED, retry_after_ms=retry_after.quarantined_ms(left))
 
     def _member_comes(self, call: Call) -> bool:
         """Wait for a first worker of a service, as after a start; return whether to look."""
