--- a/src/cranklane_lab/simulation/network.py
+++ b/src/cranklane_lab/simulation/network.py
@@ -10,7 +10,7 @@
 import io
 import zlib
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any, BinaryIO
+from typing import Any, BinaryIO, Protocol
 
 import gevent
 from gevent.event import Event
@@ -18,9 +18,6 @@
 from cranklane.runtime.interface import Address, ConnectionHandler
 from cranklane_lab.simulation.loop import VirtualLoop
 
-if TYPE_CHECKING:
-    from cranklane_lab.simulation.process import SimulatedProcess
-
 WINDOW_BYTES = 256 * 1024
 """Bytes a sender may have under way or unread at the far end."""
 
@@ -28,10 +25,28 @@
 """Part of a link's delay that varies at random."""
 
 
+class NetworkProcess(Protocol):
+    """A simulated process, as far as the network is concerned.
+
+    :ivar host: IP number of its machine.
+    :ivar dead: whether it has ended.
+    :ivar connections: its open ends, by their ``id``.
+    """
+
+    name: str
+    zone: str
+    host: str
+    dead: bool
+    connections: dict[int, SimulatedConnection]
+
+    def spawn(self, function: Callable[..., Any], *arguments: Any) -> Any:
+        """Start a task of this process."""
+
+
 class SimulatedConnection:
     """One end of a connection, with the methods of a socket."""
 
-    def __init__(self, network: Network, owner: SimulatedProcess) -> None:
+    def __init__(self, network: Network, owner: NetworkProcess) -> None:
         self._network = network
         self.owner = owner
         self.peer: SimulatedConnection = self
@@ -180,7 +195,7 @@
         self,
         loop: VirtualLoop,
         random: Any,
-        delay: Callable[[SimulatedProcess, SimulatedProcess], float],
+        delay: Callable[[NetworkProcess, NetworkProcess], float],
         on_delivery: Callable[[str], None],
     ) -> None:
         self._loop = loop
@@ -188,7 +203,7 @@
         self._delay = delay
         self._on_delivery = on_delivery
         self._listeners: dict[
-            Address, list[tuple[SimulatedListener, SimulatedProcess, ConnectionHandler]]
+            Address, list[tuple[SimulatedListener, NetworkProcess, ConnectionHandler]]
         ] = {}
         self._cut: set[tuple[str, str]] = set()
         self._held: dict[tuple[str, str], list[Callable[[], None]]] = {}
@@ -245,7 +260,7 @@
         )
         action(*arguments)
 
-    def _at(self, when: float, owner: SimulatedProcess, action: Callable[[], None]) -> None:
+    def _at(self, when: float, owner: NetworkProcess, action: Callable[[], None]) -> None:
         timer = self._loop.timer(when - self._loop.now())
         timer.start(action)
         timer.owner = owner
@@ -253,7 +268,7 @@
 
     def listen(
         self,
-        owner: SimulatedProcess,
+        owner: NetworkProcess,
         address: Address,
         handler: ConnectionHandler,
         shared: bool,
@@ -276,13 +291,13 @@
         entries = self._listeners.get(listener.address, [])
         self._listeners[listener.address] = [entry for entry in entries if entry[0] is not listener]
 
-    def forget(self, owner: SimulatedProcess) -> None:
+    def forget(self, owner: NetworkProcess) -> None:
         """Close all listening addresses of a process."""
         for address, entries in self._listeners.items():
             self._listeners[address] = [entry for entry in entries if entry[1] is not owner]
 
     def connect(
-        self, owner: SimulatedProcess, address: Address, timeout: float
+        self, owner: NetworkProcess, address: Address, timeout: float
     ) -> SimulatedConnection:
         """Open a connection.
 
@@ -312,7 +327,7 @@
 
     @staticmethod
     def _accept(
-        target: SimulatedProcess,
+        target: NetworkProcess,
         far: SimulatedConnection,
         near: SimulatedConnection,
         handler: ConnectionHandler,
--- a/src/cranklane_lab/simulation/process.py
+++ b/src/cranklane_lab/simulation/process.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import gevent
 from gevent import Greenlet
@@ -17,11 +17,8 @@
     Storage,
 )
 from cranklane_lab.simulation.disk import Disk, SimulatedStorage
-from cranklane_lab.simulation.loop import current_owner
-from cranklane_lab.simulation.network import SimulatedConnection
-
-if TYPE_CHECKING:
-    from cranklane_lab.simulation.world import World
+from cranklane_lab.simulation.loop import VirtualLoop, current_owner
+from cranklane_lab.simulation.network import Network, SimulatedConnection
 
 WALL_START = 1_800_000_000.0
 
@@ -50,8 +47,19 @@
 
     counts_suspension = True
 
-    def __init__(self, world: World, name: str, zone: str, host: str, disk: Disk) -> None:
-        self._world = world
+    def __init__(
+        self,
+        loop: VirtualLoop,
+        network: Network,
+        random: Random,
+        name: str,
+        zone: str,
+        host: str,
+        disk: Disk,
+    ) -> None:
+        self._loop = loop
+        self._network = network
+        self.random = random
         self.name = name
         self.zone = zone
         self.host = host
@@ -63,7 +71,6 @@
         self.suspended_seconds = 0.0
         self.tasks: dict[int, Greenlet] = {}
         self.connections: dict[int, SimulatedConnection] = {}
-        self.random = Random(world.random.getrandbits(64))
 
     def task_ended(self, task: Greenlet) -> None:
         """Forget a task that has ended."""
@@ -72,11 +79,11 @@
     def monotonic(self) -> float:
         """Return the process's own seconds."""
         uncounted = 0.0 if self.counts_suspension else self.suspended_seconds
-        return (self._world.loop.now() - uncounted) * self.clock_rate
+        return (self._loop.now() - uncounted) * self.clock_rate
 
     def wall(self) -> float:
         """Return seconds since 1970 on the process's own clock."""
-        return WALL_START + self._world.loop.now() * self.clock_rate + self.wall_offset
+        return WALL_START + self._loop.now() * self.clock_rate + self.wall_offset
 
     def spawn(self, function: Callable[..., Any], *arguments: Any) -> Greenlet:
         """Start a task of this process."""
@@ -89,11 +96,11 @@
 
     def connect(self, address: Address, timeout: float) -> SimulatedConnection:
         """Open a simulated connection."""
-        return self._world.network.connect(self, address, timeout)
+        return self._network.connect(self, address, timeout)
 
     def listen(self, address: Address, handler: ConnectionHandler, shared: bool = True) -> Listener:
         """Accept simulated connections."""
-        return self._world.network.listen(self, address, handler, shared)
+        return self._network.listen(self, address, handler, shared)
 
     def hung_up(self, connections: Iterable[Any]) -> list[Any]:
         """Return those connections whose far end has closed or broken."""
@@ -112,7 +119,7 @@
 
     def freeze(self, seconds: float) -> None:
         """Let nothing of this process run for a while; nobody is told."""
-        self.frozen_until = self._world.loop.now() + seconds
+        self.frozen_until = self._loop.now() + seconds
 
     def suspend(self, seconds: float) -> None:
         """Suspend its machine for a while: as :meth:`freeze`, and its timers stand still."""
@@ -126,10 +133,10 @@
             not synced on its disk is lost.
         """
         self.dead = True
-        self._world.network.forget(self)
+        self._network.forget(self)
         for connection in list(self.connections.values()):
             if not power_lost:
-                self._world.network.later(connection, connection.peer, connection.peer.reset)
+                self._network.later(connection, connection.peer, connection.peer.reset)
             connection.abandon()
         self.connections.clear()
         if power_lost:
--- a/src/cranklane_lab/simulation/world.py
+++ b/src/cranklane_lab/simulation/world.py
@@ -9,7 +9,7 @@
 
 from cranklane_lab.simulation.disk import Disk
 from cranklane_lab.simulation.loop import VirtualLoop, run_virtual
-from cranklane_lab.simulation.network import Network
+from cranklane_lab.simulation.network import Network, NetworkProcess
 from cranklane_lab.simulation.process import SimulatedProcess
 
 LOCAL_DELAY = 0.00002
@@ -40,7 +40,7 @@
         self.events = 0
         self.processes: dict[str, SimulatedProcess] = {}
 
-    def _delay(self, source: SimulatedProcess, target: SimulatedProcess) -> float:
+    def _delay(self, source: NetworkProcess, target: NetworkProcess) -> float:
         if source.host == target.host:
             return LOCAL_DELAY
         if source.zone == target.zone:
@@ -73,7 +73,9 @@
     def process(self, name: str, zone: str, host: str | None = None) -> SimulatedProcess:
         """Return a new process; one of the same name before it must be dead."""
         host = host or self.new_host()
-        process = SimulatedProcess(self, name, zone, host, self.disk(host))
+        disk = self.disk(host)
+        random = Random(self.random.getrandbits(64))
+        process = SimulatedProcess(self.loop, self.network, random, name, zone, host, disk)
         self.processes[name] = process
         return process
 
