--- a/src/cranklane/records/messages.py
+++ b/src/cranklane/records/messages.py
@@ -2884,59 +2884,59 @@
 
 
 class ForwardRequest(Record):
-    """One sidecar asks another to have its worker run a request. Times are what is left, in milliseconds: ``deadline_ms`` until the caller leaves, ``start_ms`` until the request is no longer worth starting. ``root_priority`` and ``root_age_ms`` are those of the request for whose sake this one is made, ``root_objective_ms`` and ``root_deadline_ms`` what it has left until its answer is late and until nobody waits for it; ``repeated`` tells that this run, or one on the way to it, is a second one. ``lines`` holds the request line and the headers, ``body`` what of the body has been read; ``whole`` tells that this is all. ``typical_us`` is the usual time of a run of this route over all workers, in microseconds as the asking sidecar knows it; 0: unknown. ``tenant`` is whose request it is; empty where requests need no key. ``suspect`` tells that the worker that ran it before ended meanwhile, and that it may be the cause, ``alone`` that all senders send this suspect here."""
+    """One sidecar asks another to have its worker run a request. Times in milliseconds are durations from now on, by the sender's clock: ``deadline_ms`` until the caller gives up, ``start_within_ms`` until the request is not worth starting any more. ``expected_latency_us`` is the usual run time of this route over all workers, in microseconds, as the sender knows it; 0: unknown. ``root_priority``, ``root_age_ms``, ``root_objective_ms`` and ``root_deadline_ms`` describe the root request of the call tree: the last two are the time left of its objective and of its deadline. ``is_retry``: this run, or one above it in the tree, is a second one. ``suspected``: the worker that ran it before crashed, and the request may be the cause. ``isolated``: every sender sends this suspect here, to run in isolation. ``tenant`` owns the request; empty where requests need no key. ``lines`` holds the request line and the headers, ``body`` what of the body has been read, and ``whole`` says that this is all of it."""
 
     KIND: ClassVar[int] = 80
     LAYOUT: ClassVar[Struct] = Struct("!IIIBBIII???B???QHHHHHII")
-    __slots__ = ('deadline_ms', 'start_ms', 'typical_us', 'priority', 'root_priority', 'root_age_ms', 'root_objective_ms', 'root_deadline_ms', 'repeated', 'repeatable', 'bodiless', 'framing', 'whole', 'suspect', 'alone', 'length', 'service', 'route', 'tenant', 'caller', 'request', 'lines', 'body',)
+    __slots__ = ('deadline_ms', 'start_within_ms', 'expected_latency_us', 'priority', 'root_priority', 'root_age_ms', 'root_objective_ms', 'root_deadline_ms', 'is_retry', 'idempotent', 'bodiless', 'framing', 'whole', 'suspected', 'isolated', 'length', 'service', 'route', 'tenant', 'caller', 'request_id', 'lines', 'body',)
 
     def __init__(
         self,
         deadline_ms: int = 0,
-        start_ms: int = 0,
-        typical_us: int = 0,
+        start_within_ms: int = 0,
+        expected_latency_us: int = 0,
         priority: int = 0,
         root_priority: int = 0,
         root_age_ms: int = 0,
         root_objective_ms: int = 0,
         root_deadline_ms: int = 0,
-        repeated: bool = False,
-        repeatable: bool = False,
+        is_retry: bool = False,
+        idempotent: bool = False,
         bodiless: bool = False,
         framing: int = 0,
         whole: bool = False,
-        suspect: bool = False,
-        alone: bool = False,
+        suspected: bool = False,
+        isolated: bool = False,
         length: int = 0,
         service: str = "",
         route: str = "",
         tenant: str = "",
         caller: str = "",
-        request: str = "",
+        request_id: str = "",
         lines: bytes = b"",
         body: bytes = b"",
     ) -> None:
         self.deadline_ms: int = deadline_ms
-        self.start_ms: int = start_ms
-        self.typical_us: int = typical_us
+        self.start_within_ms: int = start_within_ms
+        self.expected_latency_us: int = expected_latency_us
         self.priority: int = priority
         self.root_priority: int = root_priority
         self.root_age_ms: int = root_age_ms
         self.root_objective_ms: int = root_objective_ms
         self.root_deadline_ms: int = root_deadline_ms
-        self.repeated: bool = repeated
-        self.repeatable: bool = repeatable
+        self.is_retry: bool = is_retry
+        self.idempotent: bool = idempotent
         self.bodiless: bool = bodiless
         self.framing: int = framing
         self.whole: bool = whole
-        self.suspect: bool = suspect
-        self.alone: bool = alone
+        self.suspected: bool = suspected
+        self.isolated: bool = isolated
         self.length: int = length
         self.service: str = service
         self.route: str = route
         self.tenant: str = tenant
         self.caller: str = caller
-        self.request: str = request
+        self.request_id: str = request_id
         self.lines: bytes = lines
         self.body: bytes = body
 
@@ -2945,19 +2945,19 @@
         route = self.route.encode()
         tenant = self.tenant.encode()
         caller = self.caller.encode()
-        request = self.request.encode()
+        request_id = self.request_id.encode()
         lines = self.lines
         body = self.body
         try:
-            head = self.LAYOUT.pack(self.deadline_ms, self.start_ms, self.typical_us, self.priority, self.root_priority, self.root_age_ms, self.root_objective_ms, self.root_deadline_ms, self.repeated, self.repeatable, self.bodiless, self.framing, self.whole, self.suspect, self.alone, self.length, len(service), len(route), len(tenant), len(caller), len(request), len(lines), len(body))
+            head = self.LAYOUT.pack(self.deadline_ms, self.start_within_ms, self.expected_latency_us, self.priority, self.root_priority, self.root_age_ms, self.root_objective_ms, self.root_deadline_ms, self.is_retry, self.idempotent, self.bodiless, self.framing, self.whole, self.suspected, self.isolated, self.length, len(service), len(route), len(tenant), len(caller), len(request_id), len(lines), len(body))
         except StructError as error:
             raise MalformedRecordError(f"cannot pack: {error}") from error
-        return b''.join((head, service, route, tenant, caller, request, lines, body))
+        return b''.join((head, service, route, tenant, caller, request_id, lines, body))
 
     @classmethod
     def unpack(cls, payload: bytes) -> ForwardRequest:
         try:
-            deadline_ms, start_ms, typical_us, priority, root_priority, root_age_ms, root_objective_ms, root_deadline_ms, repeated, repeatable, bodiless, framing, whole, suspect, alone, length, service_size, route_size, tenant_size, caller_size, request_size, lines_size, body_size, = cls.LAYOUT.unpack_from(payload)
+            deadline_ms, start_within_ms, expected_latency_us, priority, root_priority, root_age_ms, root_objective_ms, root_deadline_ms, is_retry, idempotent, bodiless, framing, whole, suspected, isolated, length, service_size, route_size, tenant_size, caller_size, request_id_size, lines_size, body_size, = cls.LAYOUT.unpack_from(payload)
             start = cls.LAYOUT.size
             end = start + service_size
             service = payload[start:end].decode()
@@ -2971,8 +2971,8 @@
             end = start + caller_size
             caller = payload[start:end].decode()
             start = end
-            end = start + request_size
-            request = payload[start:end].decode()
+            end = start + request_id_size
+            request_id = payload[start:end].decode()
             start = end
             end = start + lines_size
             lines = payload[start:end]
@@ -2984,7 +2984,7 @@
             raise MalformedRecordError(f"cannot unpack: {error}") from error
         if start != len(payload):
             raise MalformedRecordError(f"ForwardRequest of {len(payload)} bytes, not {start}")
-        return cls(deadline_ms, start_ms, typical_us, priority, root_priority, root_age_ms, root_objective_ms, root_deadline_ms, repeated, repeatable, bodiless, framing, whole, suspect, alone, length, service, route, tenant, caller, request, lines, body)
+        return cls(deadline_ms, start_within_ms, expected_latency_us, priority, root_priority, root_age_ms, root_objective_ms, root_deadline_ms, is_retry, idempotent, bodiless, framing, whole, suspected, isolated, length, service, route, tenant, caller, request_id, lines, body)
 
 
 class ForwardBody(Record):
@@ -3058,11 +3058,11 @@
 
 
 class ForwardAnswer(Record):
-    """First record of the answer. ``outcome`` and ``reason`` are those of a call; ``arrived`` tells whether the request reached the worker. The load is the sidecar's own count; ``waited_ms`` and ``ran_ms`` are the times before and at the worker; ``faults`` is the part of its runs that failed by its own fault, in percent, ``slowness`` how many tenths of the typical time its runs take; ``starved`` that a call made by the run, or below it, found no room; ``failed_service`` and ``failed_reason`` tell the deepest call that failed, ``below`` what the calls of the run cost. ``body`` is the first piece, and all of it if ``whole``."""
+    """First record of the answer. ``arrived``: the request reached the worker. ``running``, ``queued`` and ``slots`` are the sidecar's own counts. ``waited_ms`` and ``run_time_ms`` are the times before and at the worker. ``faults`` is the ratio of the worker's runs that failed by its own fault, in percent; ``slowness`` its run times as a multiple of the expected latency, in tenths. ``downstream_starved``: a call made by the run, or below it, found no capacity. ``failed_service`` and ``failed_reason`` describe the deepest call that failed, ``downstream_cost`` the slot time of the run's calls. ``body`` is the first piece, and all of it if ``whole``."""
 
     KIND: ClassVar[int] = 83
     LAYOUT: ClassVar[Struct] = Struct("!BB??BHIIIIBBII?BQHIII")
-    __slots__ = ('outcome', 'reason', 'arrived', 'whole', 'framing', 'status', 'retry_after_ms', 'running', 'queued', 'slots', 'faults', 'slowness', 'waited_ms', 'ran_ms', 'starved', 'failed_reason', 'length', 'failed_service', 'below', 'lines', 'body',)
+    __slots__ = ('outcome', 'reason', 'arrived', 'whole', 'framing', 'status', 'retry_after_ms', 'running', 'queued', 'slots', 'faults', 'slowness', 'waited_ms', 'run_time_ms', 'downstream_starved', 'failed_reason', 'length', 'failed_service', 'downstream_cost', 'lines', 'body',)
 
     def __init__(
         self,
@@ -3079,12 +3079,12 @@
         faults: int = 0,
         slowness: int = 0,
         waited_ms: int = 0,
-        ran_ms: int = 0,
-        starved: bool = False,
+        run_time_ms: int = 0,
+        downstream_starved: bool = False,
         failed_reason: int = 0,
         length: int = 0,
         failed_service: str = "",
-        below: list[ServiceWork] | None = None,
+        downstream_cost: list[ServiceWork] | None = None,
         lines: bytes = b"",
         body: bytes = b"",
     ) -> None:
@@ -3101,36 +3101,36 @@
         self.faults: int = faults
         self.slowness: int = slowness
         self.waited_ms: int = waited_ms
-        self.ran_ms: int = ran_ms
-        self.starved: bool = starved
+        self.run_time_ms: int = run_time_ms
+        self.downstream_starved: bool = downstream_starved
         self.failed_reason: int = failed_reason
         self.length: int = length
         self.failed_service: str = failed_service
-        self.below: list[ServiceWork] = below if below is not None else []
+        self.downstream_cost: list[ServiceWork] = downstream_cost if downstream_cost is not None else []
         self.lines: bytes = lines
         self.body: bytes = body
 
     def pack(self) -> bytes:
         failed_service = self.failed_service.encode()
-        below = pack_records(self.below)
+        downstream_cost = pack_records(self.downstream_cost)
         lines = self.lines
         body = self.body
         try:
-            head = self.LAYOUT.pack(self.outcome, self.reason, self.arrived, self.whole, self.framing, self.status, self.retry_after_ms, self.running, self.queued, self.slots, self.faults, self.slowness, self.waited_ms, self.ran_ms, self.starved, self.failed_reason, self.length, len(failed_service), len(below), len(lines), len(body))
+            head = self.LAYOUT.pack(self.outcome, self.reason, self.arrived, self.whole, self.framing, self.status, self.retry_after_ms, self.running, self.queued, self.slots, self.faults, self.slowness, self.waited_ms, self.run_time_ms, self.downstream_starved, self.failed_reason, self.length, len(failed_service), len(downstream_cost), len(lines), len(body))
         except StructError as error:
             raise MalformedRecordError(f"cannot pack: {error}") from error
-        return b''.join((head, failed_service, below, lines, body))
+        return b''.join((head, failed_service, downstream_cost, lines, body))
 
     @classmethod
     def unpack(cls, payload: bytes) -> ForwardAnswer:
         try:
-            outcome, reason, arrived, whole, framing, status, retry_after_ms, running, queued, slots, faults, slowness, waited_ms, ran_ms, starved, failed_reason, length, failed_service_size, below_size, lines_size, body_size, = cls.LAYOUT.unpack_from(payload)
+            outcome, reason, arrived, whole, framing, status, retry_after_ms, running, queued, slots, faults, slowness, waited_ms, run_time_ms, downstream_starved, failed_reason, length, failed_service_size, downstream_cost_size, lines_size, body_size, = cls.LAYOUT.unpack_from(payload)
             start = cls.LAYOUT.size
             end = start + failed_service_size
             failed_service = payload[start:end].decode()
             start = end
-            end = start + below_size
-            below = unpack_records(ServiceWork.unpack, payload[start:end])
+            end = start + downstream_cost_size
+            downstream_cost = unpack_records(ServiceWork.unpack, payload[start:end])
             start = end
             end = start + lines_size
             lines = payload[start:end]
@@ -3142,7 +3142,7 @@
             raise MalformedRecordError(f"cannot unpack: {error}") from error
         if start != len(payload):
             raise MalformedRecordError(f"ForwardAnswer of {len(payload)} bytes, not {start}")
-        return cls(outcome, reason, arrived, whole, framing, status, retry_after_ms, running, queued, slots, faults, slowness, waited_ms, ran_ms, starved, failed_reason, length, failed_service, below, lines, body)
+        return cls(outcome, reason, arrived, whole, framing, status, retry_after_ms, running, queued, slots, faults, slowness, waited_ms, run_time_ms, downstream_starved, failed_reason, length, failed_service, downstream_cost, lines, body)
 
 
 class ServiceWork(Record):
--- a/src/cranklane/records/schema.py
+++ b/src/cranklane/records/schema.py
@@ -389,23 +389,24 @@
     Record(
         80,
         "ForwardRequest",
-        "One sidecar asks another to have its worker run a request. Times are what is left, "
-        "in milliseconds: ``deadline_ms`` until the caller leaves, ``start_ms`` until the "
-        "request is no longer worth starting. ``root_priority`` and ``root_age_ms`` are those "
-        "of the request for whose sake this one is made, ``root_objective_ms`` and "
-        "``root_deadline_ms`` what it has left until its answer is late and until nobody waits "
-        "for it; ``repeated`` tells that this run, or "
-        "one on the way to it, is a second one. ``lines`` holds the request line and "
-        "the headers, ``body`` what of the body has been read; ``whole`` tells that this is all. "
-        "``typical_us`` is the usual time of a run of this route over all workers, in "
-        "microseconds as the asking sidecar knows it; 0: unknown. ``tenant`` is whose request "
-        "it is; empty where requests need no key. ``suspect`` tells that the worker that ran it "
-        "before ended meanwhile, and that it may be the cause, ``alone`` that all senders send "
-        "this suspect here.",
-        "deadline_ms:u32 start_ms:u32 typical_us:u32 priority:u8 root_priority:u8 "
-        "root_age_ms:u32 root_objective_ms:u32 root_deadline_ms:u32 repeated:bool "
-        "repeatable:bool bodiless:bool framing:u8 whole:bool suspect:bool alone:bool "
-        "length:u64 service:str route:str tenant:str caller:str request:str lines:bytes body:bytes",
+        "One sidecar asks another to have its worker run a request. Times in milliseconds are "
+        "durations from now on, by the sender's clock: ``deadline_ms`` until the caller gives "
+        "up, ``start_within_ms`` until the request is not worth starting any more. "
+        "``expected_latency_us`` is the usual run time of this route over all workers, in "
+        "microseconds, as the sender knows it; 0: unknown. ``root_priority``, ``root_age_ms``, "
+        "``root_objective_ms`` and ``root_deadline_ms`` describe the root request of the call "
+        "tree: the last two are the time left of its objective and of its deadline. "
+        "``is_retry``: this run, or one above it in the tree, is a second one. "
+        "``suspected``: the worker that ran it before crashed, and the request may be the cause. "
+        "``isolated``: every sender sends this suspect here, to run in isolation. "
+        "``tenant`` owns the request; empty where requests need no key. ``lines`` holds the "
+        "request line and the headers, ``body`` what of the body has been read, and ``whole`` "
+        "says that this is all of it.",
+        "deadline_ms:u32 start_within_ms:u32 expected_latency_us:u32 priority:u8 root_priority:u8 "
+        "root_age_ms:u32 root_objective_ms:u32 root_deadline_ms:u32 is_retry:bool "
+        "idempotent:bool bodiless:bool framing:u8 whole:bool suspected:bool isolated:bool "
+        "length:u64 service:str route:str tenant:str caller:str request_id:str "
+        "lines:bytes body:bytes",
     ),
     Record(
         81, "ForwardBody", "The next piece of a body; none after the last.", "last:bool data:bytes"
@@ -416,19 +417,18 @@
     Record(
         83,
         "ForwardAnswer",
-        "First record of the answer. ``outcome`` and ``reason`` are those of a call; "
-        "``arrived`` tells whether the request reached the worker. The load is the sidecar's "
-        "own count; ``waited_ms`` and ``ran_ms`` are the times before and at the "
-        "worker; ``faults`` is the part of its runs that failed by its own fault, in percent, "
-        "``slowness`` how many tenths of the typical time its runs take; "
-        "``starved`` that a call made by the run, or below it, found no room; "
-        "``failed_service`` and ``failed_reason`` tell the deepest call that failed, "
-        "``below`` what the calls of the run cost. "
+        "First record of the answer. ``arrived``: the request reached the worker. ``running``, "
+        "``queued`` and ``slots`` are the sidecar's own counts. ``waited_ms`` and "
+        "``run_time_ms`` are the times before and at the worker. ``faults`` is the ratio of the "
+        "worker's runs that failed by its own fault, in percent; ``slowness`` its run times as a "
+        "multiple of the expected latency, in tenths. ``downstream_starved``: a call made by the "
+        "run, or below it, found no capacity. ``failed_service`` and ``failed_reason`` describe "
+        "the deepest call that failed, ``downstream_cost`` the slot time of the run's calls. "
         "``body`` is the first piece, and all of it if ``whole``.",
         "outcome:u8 reason:u8 arrived:bool whole:bool framing:u8 status:u16 retry_after_ms:u32 "
-        "running:u32 queued:u32 slots:u32 faults:u8 slowness:u8 waited_ms:u32 ran_ms:u32 "
-        "starved:bool failed_reason:u8 length:u64 failed_service:str below:[ServiceWork] "
-        "lines:bytes body:bytes",
+        "running:u32 queued:u32 slots:u32 faults:u8 slowness:u8 waited_ms:u32 run_time_ms:u32 "
+        "downstream_starved:bool failed_reason:u8 length:u64 failed_service:str "
+        "downstream_cost:[ServiceWork] lines:bytes body:bytes",
     ),
     Record(
         85,
--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -168,7 +168,7 @@
         started_at = self._runtime.monotonic()
         slots = self._slots
         self._on_admission(
-            request.request,
+            request.request_id,
             reason,
             slots.running,
             slots.queued,
@@ -192,7 +192,7 @@
             return Reason.REFUSED_EARLY
         return self._slots.acquire(
             request.root_priority,
-            request.start_ms / 1000,
+            request.start_within_ms / 1000,
             self._ends_wait(attempt),
             request.root_age_ms / 1000,
         )
@@ -209,11 +209,13 @@
         request = attempt.request
         reply: Reply | None = None
         begun_in = self._limiter.began(request.route)
-        run = self._call_tree.begin(request.request, _root_of(request, arrived_at), request.tenant)
+        run = self._call_tree.begin(
+            request.request_id, _root_of(request, arrived_at), request.tenant
+        )
         lone = admission.lone
         number = self._ends.next_number()
         instance = self._worker.instance
-        release = partial(self._release, request.request, number, started_at, lone)
+        release = partial(self._release, request.request_id, number, started_at, lone)
         if lone is not None:
             self._lone_runs.begins(lone)
         try:
@@ -230,7 +232,7 @@
                 release()
         reply.waited_ms = int((started_at - arrived_at) * 1000)
         ran = self._runtime.monotonic() - started_at
-        reply.ran_ms = round(ran * 1000)
+        reply.run_time_ms = round(ran * 1000)
         if not attempt.cancelled:
             self._learn(request, run, reply, ran, begun_in)
         if reply.reason in _NOBODY_LISTENS:
@@ -250,16 +252,16 @@
         self, request: ForwardRequest, run: Run, reply: Reply, ran: float, begun_in: int
     ) -> None:
         """Take what a run tells of the worker, and of the room further down."""
-        reply.starved = _is_starved(run, reply)
-        reply.below = run.below
+        reply.downstream_starved = _is_starved(run, reply)
+        reply.downstream_cost = run.downstream_cost
         if reply.outcome is not Outcome.ANSWERED or reply.status >= _SERVER_ERROR:
             reply.failure = run.failure
-        tells = request.typical_us > 0 and tells_its_time(reply)
-        ratio = ratio_to(request.typical_us / MICROSECONDS, ran) if tells else None
+        tells = request.expected_latency_us > 0 and tells_its_time(reply)
+        ratio = ratio_to(request.expected_latency_us / MICROSECONDS, ran) if tells else None
         self._condition.run_ended(_is_own_fault(run, reply), ratio)
         # Where calls cannot be tied to runs, any failed run is taken for starved.
         untold = reply.status == _SERVER_ERROR and not self._call_tree.ties
-        self._limiter.ended(request.route, begun_in, reply.starved or untold)
+        self._limiter.ended(request.route, begun_in, reply.downstream_starved or untold)
 
     # What the end of the worker tells of the requests that ran.
 
@@ -341,13 +343,13 @@
         arrived_at - request.root_age_ms / 1000,
         arrived_at + request.root_objective_ms / 1000,
         arrived_at + request.root_deadline_ms / 1000,
-        request.repeated,
+        request.is_retry,
     )
 
 
 def _is_starved(run: Run, reply: Reply) -> bool:
     """Return whether a run failed for want of room further down, or of time."""
-    return _timed_out(reply) or (reply.status == _SERVER_ERROR and run.starved)
+    return _timed_out(reply) or (reply.status == _SERVER_ERROR and run.downstream_starved)
 
 
 def _is_own_fault(run: Run, reply: Reply) -> bool:
--- a/src/cranklane/sidecar/admission/lone_runs.py
+++ b/src/cranklane/sidecar/admission/lone_runs.py
@@ -56,19 +56,19 @@
 
     def admit(self, request: ForwardRequest, on_wait: Callable[[Waiter], None]) -> SuspectAdmission:
         """Let a request run, alone where it must; refuse one that is held."""
-        if self._quarantine.is_empty and not request.suspect:
+        if self._quarantine.is_empty and not request.suspected:
             return _UNSUSPECTED
         identity = identity_of_request(request)
-        if request.suspect:
+        if request.suspected:
             self._quarantine.repeated(request.service, identity)
         admission = self._without_place(identity)
         if admission is not None:
             return admission
         level = self._quarantine.level(identity)
         on_trial = self._quarantine.standing(identity) is Standing.ON_TRIAL
-        if request.suspect and level == SEEN_ONCE and not on_trial:
+        if request.suspected and level == SEEN_ONCE and not on_trial:
             return SuspectAdmission(level=level)
-        if not request.alone:
+        if not request.isolated:
             return SuspectAdmission(Reason.SUSPECTED)
         ended = self._ended.get(identity)
         if ended is not None:
@@ -89,7 +89,7 @@
         self, request: ForwardRequest, identity: Identity, ended: Event
     ) -> SuspectAdmission:
         """Wait for what becomes of a copy of a request that was here before it."""
-        ended.wait(request.start_ms / MILLISECONDS)
+        ended.wait(request.start_within_ms / MILLISECONDS)
         return self._without_place(identity) or SuspectAdmission(Reason.RUN_ALONE)
 
     def _take_place(
@@ -98,7 +98,7 @@
         self._ended[identity] = Event()
         reason = self._place.acquire(
             request.root_priority,
-            request.start_ms / MILLISECONDS,
+            request.start_within_ms / MILLISECONDS,
             on_wait,
             request.root_age_ms / MILLISECONDS,
         )
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -167,7 +167,7 @@
         finally:
             self._hang_ups.remove(connection.stream)
         if run is not None:
-            starved = reply.starved or reply.reason in NO_ROOM
+            starved = reply.downstream_starved or reply.reason in NO_ROOM
             run.call_ended(_failure_of(call, reply), starved, call.work)
         if reply.outcome is Outcome.NOT_RUN:
             self._authentication.not_run(caller)
@@ -353,7 +353,7 @@
                 call.deadline - call.started_at if call else 0.0,
                 call.route.objective_ms / 1000 if call else 0.0,
                 reply.waited_ms,
-                reply.ran_ms,
+                reply.run_time_ms,
                 table.version,
                 call is None or call.of_client,
                 reply.failure,
--- a/src/cranklane/sidecar/request/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -71,10 +71,11 @@
     :ivar lines: the answer's headers as they go to the caller, without framing.
     :ivar body: the body, or its first piece when ``rest`` is there.
     :ivar waited_ms: time it waited for a slot of the worker.
-    :ivar ran_ms: time until the worker had answered.
-    :ivar starved: whether a run failed since a call of it, or of one below, found no room.
+    :ivar run_time_ms: time until the worker had answered.
+    :ivar downstream_starved: whether the run failed because a call below it found no
+        capacity.
     :ivar failure: the call that failed, where the run failed since one did.
-    :ivar below: what the calls of the run have cost; None: nothing.
+    :ivar downstream_cost: what the calls of the run have cost; None: nothing.
     :ivar rest: the further pieces; raises AnswerCutError when they end too early.
     """
 
@@ -90,10 +91,10 @@
     rest: Iterator[bytes] | None = None
     load: Load = field(default_factory=Load)
     waited_ms: int = 0
-    ran_ms: int = 0
-    starved: bool = False
+    run_time_ms: int = 0
+    downstream_starved: bool = False
     failure: CallFailure | None = None
-    below: SlotWork | None = None
+    downstream_cost: SlotWork | None = None
 
 
 def refusal(reason: Reason, arrived: bool = False, retry_after_ms: int = 0) -> Reply:
--- a/src/cranklane/sidecar/request/call_tree.py
+++ b/src/cranklane/sidecar/request/call_tree.py
@@ -26,7 +26,7 @@
     :ivar began_at: monotonic second of this process at which it was taken.
     :ivar objective_at: monotonic second until which its answer is worth most.
     :ivar deadline: monotonic second at which nobody waits for its answer any more.
-    :ivar repeated: whether a run on the way from it to here was sent a second time:
+    :ivar is_retry: whether a run on the way from it to here was sent a second time:
         what such a run calls is a repeat at the services called.
     """
 
@@ -34,7 +34,7 @@
     began_at: float
     objective_at: float
     deadline: float
-    repeated: bool = False
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,18 +53,18 @@
 class Run:
     """One run under way.
 
-    :ivar starved: whether a call that it made found no room, here or further down.
+    :ivar downstream_starved: whether a call that it made found no room, here or further down.
     :ivar calls_under_way: calls that it made and that have not ended.
     :ivar failure: the first call that it made and that failed.
     :ivar tenant: whose request it is; empty where requests need no key.
-    :ivar below: what its calls, and theirs, have cost.
+    :ivar downstream_cost: what its calls, and theirs, have cost.
     """
 
     root: Root
-    starved: bool = False
+    downstream_starved: bool = False
     calls_under_way: int = 0
     failure: CallFailure | None = None
-    below: SlotWork = field(default_factory=SlotWork)
+    downstream_cost: SlotWork = field(default_factory=SlotWork)
     tenant: str = ""
 
     @property
@@ -80,8 +80,8 @@
         """
         self.calls_under_way -= 1
         self.failure = self.failure or failure
-        self.starved |= starved
-        self.below.add_all(work)
+        self.downstream_starved |= starved
+        self.downstream_cost.add_all(work)
 
 
 class CallTree:
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -148,7 +148,7 @@
 
     def run(self, call: Call) -> Reply:
         """Return the answer of a worker, or why there is none."""
-        if call.root.repeated:
+        if call.root.is_retry:
             self._budget.charge(call.service)
         else:
             self._budget.earned(call.service)
@@ -221,9 +221,9 @@
             destination.closed()
         call.attempts += reply.arrived
         if reply.arrived:
-            call.work.add(call.service, reply.ran_ms)
-        if reply.below is not None:
-            call.work.add_all(reply.below)
+            call.work.add(call.service, reply.run_time_ms)
+        if reply.downstream_cost is not None:
+            call.work.add_all(reply.downstream_cost)
         seconds = self._runtime.monotonic() - now
         self._learn(call, destination, reply, seconds)
         self._on_attempt(call, destination, reply, seconds)
@@ -235,26 +235,26 @@
         start = min(left, _longest_wait(call, typical, now))
         return ForwardRequest(
             deadline_ms=int(left * 1000),
-            start_ms=_milliseconds(start),
-            typical_us=int(typical * MICROSECONDS),
+            start_within_ms=_milliseconds(start),
+            expected_latency_us=int(typical * MICROSECONDS),
             priority=call.route.priority,
             root_priority=call.root.priority,
             root_age_ms=_milliseconds(now - call.root.began_at),
             root_objective_ms=_milliseconds(call.root.objective_at - now),
             root_deadline_ms=_milliseconds(call.root.deadline - now),
-            repeated=call.root.repeated or call.attempts > 0,
-            repeatable=call.route.repeatable,
+            is_retry=call.root.is_retry or call.attempts > 0,
+            idempotent=call.route.repeatable,
             bodiless=call.bodiless,
             framing=call.framing,
             whole=call.rest is None,
-            suspect=call.suspect,
-            alone=call.alone,
+            suspected=call.suspect,
+            isolated=call.alone,
             length=call.length,
             service=call.service,
             route=call.route.name,
             tenant=call.tenant,
             caller=self._caller,
-            request=call.request,
+            request_id=call.request,
             lines=call.lines,
             body=call.body,
         )
@@ -298,7 +298,7 @@
     ) -> None:
         """Compare a run's time with what is typical of its route."""
         if tells_its_time(reply):
-            ratio = self._times.ratio(call.route.name, reply.ran_ms / 1000 or seconds)
+            ratio = self._times.ratio(call.route.name, reply.run_time_ms / 1000 or seconds)
             destination.slowness.sample(self._runtime.monotonic(), ratio)
 
     def _eject(self, destination: Destination, reason: Reason) -> None:
@@ -321,7 +321,7 @@
     @staticmethod
     def _may_improve(call: Call, reply: Reply) -> bool:
         """Return whether another worker may answer better than this one did."""
-        if reply.starved:
+        if reply.downstream_starved:
             # The want of room is deeper than this worker, and another run adds to it.
             return False
         failed = reply.status == _SERVER_ERROR and reply.rest is None
@@ -349,7 +349,7 @@
                 # Refused early means that the fault is deeper than this worker.
                 return False
             return call.attempts == 0 or call.attempts < call.route.max_attempts
-        if call.attempts >= call.route.max_attempts or call.root.repeated:
+        if call.attempts >= call.route.max_attempts or call.root.is_retry:
             return False
         return self._budget.take(call.service)
 
--- a/src/cranklane/sidecar/routing/peers.py
+++ b/src/cranklane/sidecar/routing/peers.py
@@ -225,12 +225,12 @@
             Condition.from_wire(answer.faults, answer.slowness),
         ),
         answer.waited_ms,
-        answer.ran_ms,
-        answer.starved,
+        answer.run_time_ms,
+        answer.downstream_starved,
         CallFailure(answer.failed_service, Reason(answer.failed_reason))
         if answer.failed_service
         else None,
-        _work(answer.below) if answer.below else None,
+        _work(answer.downstream_cost) if answer.downstream_cost else None,
     )
 
 
@@ -365,11 +365,13 @@
         faults=load.condition.wire_faults,
         slowness=load.condition.wire_slowness,
         waited_ms=reply.waited_ms,
-        ran_ms=reply.ran_ms,
-        starved=reply.starved,
+        run_time_ms=reply.run_time_ms,
+        downstream_starved=reply.downstream_starved,
         failed_service=reply.failure.service if reply.failure else "",
         failed_reason=reply.failure.reason if reply.failure else Reason.NONE,
-        below=[ServiceWork(spent, service) for service, spent in reply.below or ()],
+        downstream_cost=[
+            ServiceWork(spent, service) for service, spent in reply.downstream_cost or ()
+        ],
         length=reply.length,
         lines=reply.lines,
         body=reply.body,
--- a/src/cranklane/sidecar/telemetry/decision_log.py
+++ b/src/cranklane/sidecar/telemetry/decision_log.py
@@ -79,7 +79,7 @@
             return
         self._log.info(
             "request",
-            request=decision.request,
+            request=decision.request_id,
             route=decision.route,
             service=decision.service,
             outcome=decision.outcome.label,
@@ -89,7 +89,7 @@
             refusals=decision.refusals,
             seconds=round(decision.seconds, 4),
             waited_ms=decision.waited_ms,
-            ran_ms=decision.ran_ms,
+            ran_ms=decision.run_time_ms,
             objective_seconds=decision.objective_seconds,
             deadline_seconds=round(decision.allowed_seconds, 3),
             table=decision.version,
--- a/src/cranklane/sidecar/worker/end.py
+++ b/src/cranklane/sidecar/worker/end.py
@@ -117,7 +117,7 @@
         now = self._clock()
         return tuple(
             EndedRun(
-                run.request.request,
+                run.request.request_id,
                 identity_of_request(run.request),
                 now - run.began_at,
                 run.level,
--- a/src/cranklane/sidecar/worker/exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -104,7 +104,7 @@
         :param on_sent: called when the first byte is about to be sent.
         """
         try:
-            connection = self._pool.take(careful=not attempt.request.repeatable)
+            connection = self._pool.take(careful=not attempt.request.idempotent)
         except OSError:
             return refusal(Reason.WORKER_UNREACHABLE)
         attempt.when_cancelled(connection.close)
@@ -174,7 +174,7 @@
         self, request: ForwardRequest, connection: WorkerConnection
     ) -> AnswerHead | None:
         """Return the head of this request's answer; those of others are thrown away."""
-        expected = request.request.encode()
+        expected = request.request_id.encode()
         reader = connection.reader
         for _ in range(SURPLUS_ANSWERS):
             head = reader.next_head(request.bodiless)
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -53,7 +53,7 @@
 
 
 def goes_on_within_a_repeated_run(self, call, reply):
-    call.root = replace(call.root, repeated=False)
+    call.root = replace(call.root, is_retry=False)
     return Dispatcher_goes_on(self, call, reply)
 
 
--- a/tests/test_mesh_overload.py
+++ b/tests/test_mesh_overload.py
@@ -81,7 +81,7 @@
             original = machine.sidecar.gate.run
 
             def run(attempt, on_admitted=None, original=original):
-                asked.append(attempt.request.request)
+                asked.append(attempt.request.request_id)
                 return original(attempt, on_admitted)
 
             machine.sidecar.gate.run = run
