--- a/src/cranklane/common/sealed.py
+++ b/src/cranklane/common/checksummed.py
@@ -1,4 +1,4 @@
-"""Bytes of a small file with their checksum before them."""
+"""Small files with their checksum in front: written whole, read only when undamaged."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 _CHECKSUM = Struct("!I")
 
 
-def seal(payload: bytes) -> bytes:
+def add_checksum(payload: bytes) -> bytes:
     """Return a file's bytes: the payload's CRC-32, then the payload."""
     return _CHECKSUM.pack(zlib.crc32(payload)) + payload
 
 
-def unseal(data: bytes) -> bytes | None:
-    """Return the payload, or None when it is damaged.
+def verified_payload(data: bytes) -> bytes | None:
+    """Return the payload, or None when the file is damaged.
 
-    >>> unseal(seal(b"a")), unseal(seal(b"a") + b"b"), unseal(b"")
+    >>> data = add_checksum(b"a")
+    >>> verified_payload(data), verified_payload(data + b"b"), verified_payload(b"")
     (b'a', None, None)
     """
     payload = data[_CHECKSUM.size :]
--- a/src/cranklane/common/http1.py
+++ b/src/cranklane/common/http1/reader.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 messages on a connection, read piece by piece with ``httptools``.
+"""Reads HTTP/1.1 messages from a connection, piece by piece, with ``httptools``.
 
 The parser is the library's; this module turns its callbacks into a head that
 is returned once and a body that is pulled in pieces, so that a slow reader on
-one side slows the sender on the other and nothing large is held in memory.
+one side slows the sender on the other and no large body is kept in memory.
 """
 
 from __future__ import annotations
@@ -10,120 +10,28 @@
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass, field
-from enum import IntEnum
 from http import HTTPStatus
 from typing import Any
 
 import httptools
 
-RECEIVE_BYTES = 64 * 1024
-LAST_CHUNK = b"0\r\n\r\n"
-
-Header = tuple[bytes, bytes]
-"""Name and value as they stood on the wire."""
-
-HOP_BY_HOP = frozenset(
-    {
-        b"connection",
-        b"keep-alive",
-        b"proxy-authenticate",
-        b"proxy-authorization",
-        b"proxy-connection",
-        b"te",
-        b"trailer",
-        b"transfer-encoding",
-        b"upgrade",
-        b"expect",
-        b"content-length",
-    }
+from cranklane.common.http1.message import (
+    AnswerHead,
+    Framing,
+    Header,
+    HeadTooLargeError,
+    MalformedMessageError,
+    MessageCutError,
+    RequestHead,
+    framing_of,
 )
-"""Headers of one connection or of its framing; never passed on as they came."""
-
-_PHRASES = {status.value: status.phrase for status in HTTPStatus}
-_NO_BODY_STATUS = frozenset({204, 304})
-_FIRST_FINAL_STATUS = 200
-
-
-class Framing(IntEnum):
-    """How the end of a body is known."""
-
-    NONE = 0
-    LENGTH = 1
-    CHUNKED = 2
-    UNTIL_CLOSE = 3
-
-
-class MalformedMessageError(Exception):
-    """The bytes are no HTTP/1.1 message."""
-
-
-class HeadTooLargeError(Exception):
-    """A message's head is larger than allowed."""
-
-
-class MessageCutError(Exception):
-    """The connection ended within a message."""
-
-
-@dataclass(slots=True)
-class RequestHead:
-    """Request line and headers.
-
-    :ivar target: as sent, escapes and query included.
-    :ivar length: of the body in bytes; meaningful with ``Framing.LENGTH``.
-    :ivar keep_alive: whether the sender keeps the connection.
-    """
-
-    method: bytes
-    target: bytes
-    headers: list[Header]
-    framing: Framing
-    length: int
-    keep_alive: bool
-
-    def value(self, lower_name: bytes) -> bytes | None:
-        """Return the first value of a header, or None."""
-        return header_value(self.headers, lower_name)
-
-
-@dataclass(slots=True)
-class AnswerHead:
-    """Status line and headers."""
-
-    status: int
-    headers: list[Header]
-    framing: Framing
-    length: int
-    keep_alive: bool
-
-    def value(self, lower_name: bytes) -> bytes | None:
-        """Return the first value of a header, or None."""
-        return header_value(self.headers, lower_name)
-
-
-def header_value(headers: list[Header], lower_name: bytes) -> bytes | None:
-    """Return the first value of a header, or None.
-
-    >>> header_value([(b"X-Id", b"7")], b"x-id")
-    b'7'
-    """
-    for name, value in headers:
-        if len(name) == len(lower_name) and name.lower() == lower_name:
-            return value
-    return None
 
+RECEIVE_BYTES = 64 * 1024
+"""Bytes asked of the kernel at once. A choice: most requests and answers come in one piece."""
 
-def _framing(headers: list[Header]) -> tuple[Framing, int]:
-    length = -1
-    for name, value in headers:
-        lower = name.lower()
-        if lower == b"transfer-encoding":
-            return Framing.CHUNKED, 0
-        if lower == b"content-length":
-            length = int(value)
-    if length < 0:
-        return Framing.NONE, 0
-    return Framing.LENGTH, length
+_NO_BODY_STATUS = frozenset({HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED})
+_FIRST_FINAL_STATUS = int(HTTPStatus.OK)
+"""Answers below it are interim (1xx) and skipped."""
 
 
 @dataclass(slots=True)
@@ -288,7 +196,7 @@
         message = self._next_head()
         if message is None:
             return None
-        framing, length = _framing(message.headers)
+        framing, length = framing_of(message.headers)
         return RequestHead(
             message.method, message.url, message.headers, framing, length, message.keep_alive
         )
@@ -351,7 +259,7 @@
             if message.status >= _FIRST_FINAL_STATUS:
                 break
             self._messages.popleft()
-        framing, length = _framing(message.headers)
+        framing, length = framing_of(message.headers)
         self._bodiless = bodiless
         keep_alive = message.keep_alive
         if bodiless or message.status in _NO_BODY_STATUS:
@@ -384,53 +292,3 @@
     def surplus(self) -> bool:
         """Whether bytes came after the current answer, which is whole."""
         return bool(self._error) or len(self._messages) > 1
-
-
-def status_line(status: int) -> bytes:
-    """Return the status line of an answer.
-
-    >>> status_line(404)
-    b'HTTP/1.1 404 Not Found\\r\\n'
-    """
-    return b"HTTP/1.1 %d %s\r\n" % (status, _PHRASES.get(status, "Status").encode())
-
-
-def header_lines(headers: list[Header]) -> bytes:
-    """Return headers as they go over the wire."""
-    return b"".join([b"%s: %s\r\n" % header for header in headers])
-
-
-def end_to_end(headers: list[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
-    """Return the headers that are passed on.
-
-    Those named by a ``Connection`` header are dropped with it.
-
-    :param without: lower-case names to leave out besides.
-    """
-    dropped = HOP_BY_HOP | without
-    for name, value in headers:
-        if name.lower() == b"connection" and value.lower() not in (b"close", b"keep-alive"):
-            listed = {item.strip().lower() for item in value.split(b",")}
-            dropped = dropped | (listed - {b"host"})
-    return [header for header in headers if header[0].lower() not in dropped]
-
-
-def framing_line(framing: Framing, length: int) -> bytes:
-    """Return the header that states a body's framing.
-
-    A body that would end with its connection is sent in chunks.
-    """
-    if framing is Framing.NONE:
-        return b""
-    if framing is Framing.LENGTH:
-        return b"Content-Length: %d\r\n" % length
-    return b"Transfer-Encoding: chunked\r\n"
-
-
-def chunk(data: bytes) -> bytes:
-    """Return one chunk of a chunked body.
-
-    >>> chunk(b"abc")
-    b'3\\r\\nabc\\r\\n'
-    """
-    return b"%x\r\n%s\r\n" % (len(data), data)
--- /dev/null
+++ b/src/cranklane/common/http1/writer.py
@@ -0,0 +1,79 @@
+"""Writes the parts of HTTP/1.1 messages: status line, headers, framing and chunks."""
+
+from __future__ import annotations
+
+from http import HTTPStatus
+
+from cranklane.common.http1.message import Framing, Header
+
+LAST_CHUNK = b"0\r\n\r\n"
+"""Ends a chunked body."""
+
+HOP_BY_HOP = frozenset(
+    {
+        b"connection",
+        b"keep-alive",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"expect",
+        b"content-length",
+    }
+)
+"""Headers of one connection or of its framing; never passed on as they came."""
+
+_PHRASES = {status.value: status.phrase for status in HTTPStatus}
+
+
+def status_line(status: int) -> bytes:
+    """Return the status line of an answer.
+
+    >>> status_line(404)
+    b'HTTP/1.1 404 Not Found\\r\\n'
+    """
+    return b"HTTP/1.1 %d %s\r\n" % (status, _PHRASES.get(status, "Status").encode())
+
+
+def header_lines(headers: list[Header]) -> bytes:
+    """Return headers as they go over the wire."""
+    return b"".join([b"%s: %s\r\n" % header for header in headers])
+
+
+def end_to_end(headers: list[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
+    """Return the headers that are passed on.
+
+    Those named by a ``Connection`` header are dropped with it.
+
+    :param without: lower-case names to leave out besides.
+    """
+    dropped = HOP_BY_HOP | without
+    for name, value in headers:
+        if name.lower() == b"connection" and value.lower() not in (b"close", b"keep-alive"):
+            listed = {item.strip().lower() for item in value.split(b",")}
+            dropped = dropped | (listed - {b"host"})
+    return [header for header in headers if header[0].lower() not in dropped]
+
+
+def framing_line(framing: Framing, length: int) -> bytes:
+    """Return the header that states a body's framing.
+
+    A body that would end with its connection is sent in chunks.
+    """
+    if framing is Framing.NONE:
+        return b""
+    if framing is Framing.LENGTH:
+        return b"Content-Length: %d\r\n" % length
+    return b"Transfer-Encoding: chunked\r\n"
+
+
+def chunk(data: bytes) -> bytes:
+    """Return one chunk of a chunked body.
+
+    >>> chunk(b"abc")
+    b'3\\r\\nabc\\r\\n'
+    """
+    return b"%x\r\n%s\r\n" % (len(data), data)
--- a/src/cranklane/common/small_http.py
+++ b/src/cranklane/common/small_http.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-from cranklane.common.http1 import (
+from cranklane.common.http1.message import (
     HeadTooLargeError,
     MalformedMessageError,
     MessageCutError,
-    RequestReader,
-    status_line,
 )
+from cranklane.common.http1.reader import RequestReader
+from cranklane.common.http1.writer import status_line
 from cranklane.runtime.interface import Address, Runtime
 
 MAX_HEAD_BYTES = 16 * 1024
--- a/src/cranklane/control/backup.py
+++ b/src/cranklane/control/backup.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from cranklane.common.sealed import seal, unseal
+from cranklane.common.checksummed import add_checksum, verified_payload
 from cranklane.errors import DamagedLogError, MalformedRecordError
 from cranklane.records.messages import EditCommand, LogSnapshot, StoreState
 from cranklane.replication.log import SNAPSHOT_FILE, Log
@@ -41,7 +41,7 @@
     index = replica.applied_index
     term = replica.log.term_at(index) or replica.log.snapshot.term
     snapshot = LogSnapshot(term, index, replica.members.at(index), replica.machine.pack())
-    return seal(snapshot.pack())
+    return add_checksum(snapshot.pack())
 
 
 def read(data: bytes) -> LogSnapshot:
@@ -49,7 +49,7 @@
 
     :raises DamagedLogError: when it is damaged.
     """
-    payload = unseal(data)
+    payload = verified_payload(data)
     if payload is None:
         raise DamagedLogError("the back-up is damaged: its checksum does not match")
     try:
@@ -128,5 +128,5 @@
     state.whole_below = state.revision
     snapshot.state = state.pack()
     VoteFile(storage).open(Random(), has_log=False)
-    storage.replace(SNAPSHOT_FILE, seal(snapshot.pack()))
+    storage.replace(SNAPSHOT_FILE, add_checksum(snapshot.pack()))
     return snapshot
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from cranklane.common.sealed import seal, unseal
+from cranklane.common.checksummed import add_checksum, verified_payload
 from cranklane.common.units import MICROSECONDS
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.records.connection import RecordConnection
@@ -62,7 +62,7 @@
     def load(self) -> ConfigDelta | None:
         """Return what was adopted last, or None when there is nothing usable."""
         data = self._storage.read(_FILE)
-        payload = unseal(data) if data is not None else None
+        payload = verified_payload(data) if data is not None else None
         if payload is None:
             return None
         delta = ConfigDelta.unpack(payload)
@@ -79,7 +79,7 @@
             else:
                 self._rows.pop(row.key, None)
         whole = ConfigDelta(version=delta.version, whole=True, rows=list(self._rows.values()))
-        self._storage.replace(_FILE, seal(whole.pack()))
+        self._storage.replace(_FILE, add_checksum(whole.pack()))
 
 
 class AdoptedConfiguration(Protocol):
--- a/src/cranklane/replication/log.py
+++ b/src/cranklane/replication/log.py
@@ -16,7 +16,7 @@
 
 from gevent.lock import Semaphore
 
-from cranklane.common.sealed import seal, unseal
+from cranklane.common.checksummed import add_checksum, verified_payload
 from cranklane.errors import DamagedLogError, MalformedRecordError
 from cranklane.records.messages import LogEntry, LogSnapshot
 from cranklane.runtime.interface import Storage
@@ -107,7 +107,7 @@
         data = self._storage.read(SNAPSHOT_FILE)
         if data is None:
             return
-        payload = unseal(data)
+        payload = verified_payload(data)
         if payload is None:
             raise DamagedLogError(
                 "the snapshot is damaged; restore this replica with an empty data folder so "
@@ -197,7 +197,7 @@
         kept = self.between(snapshot.index + 1, self.last_index)
         if snapshot.index > self.last_index or self.term_at(snapshot.index) != snapshot.term:
             kept = []
-        sealed = seal(snapshot.pack())
+        sealed = add_checksum(snapshot.pack())
         self._storage.replace(SNAPSHOT_FILE, sealed)
         self.snapshot = snapshot
         self.snapshot_size = len(sealed)
--- a/src/cranklane/replication/vote_file.py
+++ b/src/cranklane/replication/vote_file.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from cranklane.common.sealed import seal, unseal
+from cranklane.common.checksummed import add_checksum, verified_payload
 from cranklane.errors import DamagedLogError
 from cranklane.records.messages import VoteState
 from cranklane.runtime.interface import Storage
@@ -39,7 +39,7 @@
                 )
             self._write(VoteState(identity=random.getrandbits(_IDENTITY_BITS) | 1))
             return
-        payload = unseal(data)
+        payload = verified_payload(data)
         if payload is None:
             raise DamagedLogError(
                 "the vote file is damaged; empty the data folder so that this replica "
@@ -52,5 +52,5 @@
         self._write(VoteState(term, self.state.identity, voted_for))
 
     def _write(self, state: VoteState) -> None:
-        self._storage.replace(VOTE_FILE, seal(state.pack()))
+        self._storage.replace(VOTE_FILE, add_checksum(state.pack()))
         self.state = state
--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -7,7 +7,7 @@
 
 from result import Err, Ok, Result
 
-from cranklane.common.http1 import RequestHead
+from cranklane.common.http1.message import RequestHead
 from cranklane.common.request_names import HeaderNames
 from cranklane.outcome import Reason
 from cranklane.routes.table import Route, RouteTable
--- a/src/cranklane/sidecar/ingress/caller_connection.py
+++ b/src/cranklane/sidecar/ingress/caller_connection.py
@@ -6,13 +6,13 @@
 
 import gevent
 
-from cranklane.common.http1 import (
+from cranklane.common.http1.message import (
     HeadTooLargeError,
     MalformedMessageError,
     MessageCutError,
     RequestHead,
-    RequestReader,
 )
+from cranklane.common.http1.reader import RequestReader
 from cranklane.routes.table import RouteTable
 from cranklane.runtime.interface import Runtime
 from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -7,13 +7,15 @@
 
 from result import Err
 
-from cranklane.common.http1 import (
-    LAST_CHUNK,
+from cranklane.common.http1.message import (
     Framing,
     HeadTooLargeError,
     MalformedMessageError,
     MessageCutError,
     RequestHead,
+)
+from cranklane.common.http1.writer import (
+    LAST_CHUNK,
     chunk,
     end_to_end,
     framing_line,
--- a/src/cranklane/sidecar/request/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass, field
 
-from cranklane.common.http1 import Framing
+from cranklane.common.http1.message import Framing
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.sidecar.request.call_tree import CallFailure
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -12,7 +12,7 @@
 
 import gevent
 
-from cranklane.common.http1 import Framing
+from cranklane.common.http1.message import Framing
 from cranklane.common.units import MICROSECONDS
 from cranklane.distribution.member_state import MemberState
 from cranklane.outcome import Outcome, Reason
--- a/src/cranklane/sidecar/routing/peers.py
+++ b/src/cranklane/sidecar/routing/peers.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from cranklane.common.http1 import Framing, MalformedMessageError, MessageCutError
+from cranklane.common.http1.message import Framing, MalformedMessageError, MessageCutError
 from cranklane.errors import AnswerCutError, ConnectionLostError, MalformedRecordError
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.connection import RecordConnection
--- a/src/cranklane/sidecar/worker/exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -4,16 +4,13 @@
 
 from collections.abc import Callable, Iterator
 
-from cranklane.common.http1 import (
-    LAST_CHUNK,
+from cranklane.common.http1.message import (
     AnswerHead,
     Framing,
     MalformedMessageError,
     MessageCutError,
-    chunk,
-    end_to_end,
-    header_lines,
 )
+from cranklane.common.http1.writer import LAST_CHUNK, chunk, end_to_end, header_lines
 from cranklane.common.request_names import HeaderNames
 from cranklane.errors import AnswerCutError, ConnectionLostError, MalformedRecordError
 from cranklane.outcome import Outcome, Reason
--- a/src/cranklane/sidecar/worker/pool.py
+++ b/src/cranklane/sidecar/worker/pool.py
@@ -5,7 +5,8 @@
 from collections import deque
 from typing import Any
 
-from cranklane.common.http1 import AnswerHead, AnswerReader
+from cranklane.common.http1.message import AnswerHead
+from cranklane.common.http1.reader import AnswerReader
 from cranklane.runtime.interface import Address, Runtime
 
 CONNECT_SECONDS = 1.0
--- a/src/cranklane_lab/standins/raw_http.py
+++ b/src/cranklane_lab/standins/raw_http.py
@@ -5,7 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cranklane.common.http1 import AnswerReader, MalformedMessageError, MessageCutError
+from cranklane.common.http1.message import MalformedMessageError, MessageCutError
+from cranklane.common.http1.reader import AnswerReader
 from cranklane.runtime.interface import Address, Runtime
 
 MAX_HEAD_BYTES = 64 * 1024
--- a/src/cranklane_lab/standins/routed_worker.py
+++ b/src/cranklane_lab/standins/routed_worker.py
@@ -13,13 +13,9 @@
 
 import gevent
 
-from cranklane.common.http1 import (
-    MalformedMessageError,
-    MessageCutError,
-    RequestHead,
-    RequestReader,
-    status_line,
-)
+from cranklane.common.http1.message import MalformedMessageError, MessageCutError, RequestHead
+from cranklane.common.http1.reader import RequestReader
+from cranklane.common.http1.writer import status_line
 from cranklane.common.request_names import HeaderNames
 from cranklane.runtime.interface import Address, Runtime
 from cranklane_lab.standins.raw_http import exchange
