--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -20,19 +20,19 @@
 from cranklane.sidecar.admission.lone_runs import LoneRuns, SuspectAdmission
 from cranklane.sidecar.admission.outcome_limiter import OutcomeLimiter
 from cranklane.sidecar.admission.slots import Slots, Waiter
-from cranklane.sidecar.quarantine.table import Quarantine, Standing, end_id
+from cranklane.sidecar.quarantine.table import Quarantine, Standing, crash_id
 from cranklane.sidecar.request.attempt import Attempt, Load, Reply, refusal, unknown
 from cranklane.sidecar.request.call_tree import CallTree, Root, Run
 from cranklane.sidecar.request.identity import Identity
 from cranklane.sidecar.worker.condition import WorkerCondition
-from cranklane.sidecar.worker.end import (
+from cranklane.sidecar.worker.exchange import WorkerExchange
+from cranklane.sidecar.worker.exit import (
     LEAVING,
-    EndedRun,
-    WorkerEnd,
-    WorkerEnds,
+    InterruptedRun,
+    WorkerExit,
+    WorkerExits,
     identity_of_request,
 )
-from cranklane.sidecar.worker.exchange import WorkerExchange
 from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
 from cranklane.sidecar.worker.slowness import ratio_to
 
@@ -104,7 +104,7 @@
     :param condition: told how the runs end and how long they take.
     :param quarantine: what is known of requests that end workers.
     :param on_admission: told of each decision.
-    :param on_worker_end: told once of each end of the worker's process.
+    :param on_worker_exit: told once of each end of the worker's process.
     """
 
     def __init__(
@@ -117,7 +117,7 @@
         condition: WorkerCondition,
         quarantine: Quarantine,
         on_admission: AdmissionListener,
-        on_worker_end: Callable[[WorkerEnd], None],
+        on_worker_exit: Callable[[WorkerExit], None],
     ) -> None:
         self._call_tree = call_tree
         self._on_admission = on_admission
@@ -126,8 +126,8 @@
         self._slots = slots
         self._limiter = OutcomeLimiter(runtime.monotonic)
         self._condition = condition
-        self._on_worker_end = on_worker_end
-        self._ends = WorkerEnds(runtime, worker, self._worker_has_ended)
+        self._on_worker_exit = on_worker_exit
+        self._exits = WorkerExits(runtime, worker, self._worker_exited)
         self._quarantine = quarantine
         self._lone_runs = LoneRuns(runtime.monotonic, quarantine)
         self._exchange = (
@@ -213,7 +213,7 @@
             request.request_id, _root_of(request, arrived_at), request.tenant
         )
         lone = admission.lone
-        number = self._ends.next_number()
+        number = self._exits.next_number()
         instance = self._worker.instance
         release = partial(self._release, request.request_id, number, started_at, lone)
         if lone is not None:
@@ -223,10 +223,10 @@
                 on_admitted()
             deadline = arrived_at + request.deadline_ms / 1000
             assert self._exchange is not None
-            on_sent = partial(self._ends.began, number, request, admission.level)
+            on_sent = partial(self._exits.began, number, request, admission.level)
             reply = self._exchange.run(attempt, instance, deadline, on_sent)
-            if reply.reason is Reason.WORKER_FAILED and self._ends.connection_lost(instance):
-                reply = self._reply_of_end(request)
+            if reply.reason is Reason.WORKER_FAILED and self._exits.connection_lost(instance):
+                reply = self._reply_of_exit(request)
         finally:
             if reply is None or reply.rest is None:
                 release()
@@ -241,7 +241,7 @@
             reply.rest = HeldAnswer(
                 reply.rest,
                 release,
-                partial(self._ends.connection_lost, instance),
+                partial(self._exits.connection_lost, instance),
                 partial(self._answered, request),
             )
         elif reply.outcome is Outcome.ANSWERED:
@@ -265,16 +265,16 @@
 
     # What the end of the worker tells of the requests that ran.
 
-    def _worker_has_ended(self, end: WorkerEnd) -> None:
-        self._on_worker_end(end)
+    def _worker_exited(self, end: WorkerExit) -> None:
+        self._on_worker_exit(end)
         if not end.planned:
             # Of copies of one request, the one that was suspected least counts: those that were
             # under way before have not ended the worker.
             runs = sorted(end.runs, key=_level_of, reverse=True)
             levels = {run.identity: run.level for run in runs}
-            self._quarantine.worker_ended(self._worker.service, end_id(end.instance), levels)
+            self._quarantine.worker_ended(self._worker.service, crash_id(end.instance), levels)
 
-    def _reply_of_end(self, request: ForwardRequest) -> Reply:
+    def _reply_of_exit(self, request: ForwardRequest) -> Reply:
         """Return the reply to a run whose worker has ended.
 
         It tells for how long the request is held, where it is: the sender would repeat it before
@@ -316,7 +316,7 @@
     def _release(self, request: str, number: int, started_at: float, lone: Identity | None) -> None:
         held_seconds = self._runtime.monotonic() - started_at
         self._call_tree.end(request)
-        self._ends.ended(number)
+        self._exits.ended(number)
         self._slots.release(held_seconds)
         if lone is not None:
             self._lone_runs.release(lone, held_seconds)
@@ -332,7 +332,7 @@
     return answered or reply.reason is Reason.DEADLINE_PASSED
 
 
-def _level_of(run: EndedRun) -> int:
+def _level_of(run: InterruptedRun) -> int:
     return run.level
 
 
--- a/src/cranklane/sidecar/admission/lone_runs.py
+++ b/src/cranklane/sidecar/admission/lone_runs.py
@@ -20,7 +20,7 @@
 from cranklane.sidecar.admission.slots import Slots, Waiter
 from cranklane.sidecar.quarantine.table import Quarantine, Standing
 from cranklane.sidecar.request.identity import Identity
-from cranklane.sidecar.worker.end import identity_of_request
+from cranklane.sidecar.worker.exit import identity_of_request
 
 SEEN_ONCE = 1
 """Level of a suspect that ran beside others at one worker that ended."""
--- a/src/cranklane/sidecar/ingress/hang_up.py
+++ b/src/cranklane/sidecar/ingress/disconnect.py
@@ -13,7 +13,7 @@
 """Seconds between looks; one look covers every connection."""
 
 
-class HangUpWatch:
+class DisconnectWatch:
     """Watches the connections on which somebody waits.
 
     One look at all of them costs less than an event for each, and while nobody
@@ -25,9 +25,9 @@
         self._waiting: dict[Any, Callable[[], None]] = {}
         self._looking = False
 
-    def add(self, connection: Any, on_hang_up: Callable[[], None]) -> None:
+    def add(self, connection: Any, on_disconnect: Callable[[], None]) -> None:
         """Watch a connection until it is removed."""
-        self._waiting[connection] = on_hang_up
+        self._waiting[connection] = on_disconnect
         if not self._looking:
             self._looking = True
             self._runtime.spawn(self._look)
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -31,7 +31,7 @@
 from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.ingress.authentication import Authentication, Caller, identity_line
 from cranklane.sidecar.ingress.caller_connection import CallerConnection
-from cranklane.sidecar.ingress.hang_up import HangUpWatch
+from cranklane.sidecar.ingress.disconnect import DisconnectWatch
 from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES, Reply, refusal
 from cranklane.sidecar.request.call_tree import CallFailure, CallTree, Root, Run
 from cranklane.sidecar.request.decision import Decision
@@ -68,7 +68,7 @@
         caller: str,
         table: Callable[[], RouteTable],
         dispatcher: Dispatcher,
-        hang_ups: HangUpWatch,
+        disconnects: DisconnectWatch,
         call_tree: CallTree,
         authentication: Authentication,
         on_decision: Callable[[Decision], None],
@@ -80,7 +80,7 @@
         self._caller = caller.encode()
         self._table = table
         self._dispatcher = dispatcher
-        self._hang_ups = hang_ups
+        self._disconnects = disconnects
         self._on_decision = on_decision
         self._splitter = Splitter(runtime.random.random())
         self._request_name = names.request.lower()
@@ -161,13 +161,13 @@
             self._authentication.not_run(caller)
             return problem != _BODY_CUT and self._reject(connection, problem)
         call = self._call(connection, head, name, route, caller, run, started_at)
-        self._hang_ups.add(connection.stream, call.cancel)
+        self._disconnects.add(connection.stream, call.cancel)
         if run is not None:
             run.calls_under_way += 1
         try:
             reply = self._dispatcher.run(call)
         finally:
-            self._hang_ups.remove(connection.stream)
+            self._disconnects.remove(connection.stream)
         if run is not None:
             starved = reply.downstream_starved or reply.reason in NO_ROOM
             run.call_ended(_failure_of(call, reply), starved, call.work)
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -41,7 +41,7 @@
 from cranklane.sidecar.admission.slots import Slots
 from cranklane.sidecar.admission.tenant_quota import TenantQuota
 from cranklane.sidecar.ingress.authentication import Authentication
-from cranklane.sidecar.ingress.hang_up import HangUpWatch
+from cranklane.sidecar.ingress.disconnect import DisconnectWatch
 from cranklane.sidecar.ingress.ingress import Ingress
 from cranklane.sidecar.quarantine.api import QuarantineApi
 from cranklane.sidecar.quarantine.sidecar_directory import SidecarDirectory
@@ -161,7 +161,7 @@
             self._log,
         )
         call_tree = CallTree()
-        self.condition = WorkerCondition(runtime.monotonic, self._condition_news)
+        self.condition = WorkerCondition(runtime.monotonic, self._condition_changed)
         self.gate = Gate(
             runtime,
             self.worker,
@@ -171,15 +171,15 @@
             self.condition,
             self.quarantine.table,
             self.decisions.admission,
-            self.decisions.worker_ended,
+            self.decisions.worker_exited,
         )
         self.lease = TableLease(runtime.monotonic, settings.revocation_seconds)
         self.quota = TenantQuota(
             runtime.monotonic, runtime.random, lambda: self.destinations.fleet_size().sidecars
         )
-        hang_ups = HangUpWatch(runtime)
+        disconnects = DisconnectWatch(runtime)
         self.peer_server = PeerServer(
-            runtime, self.gate, hang_ups, self.quarantine.received, self._log
+            runtime, self.gate, disconnects, self.quarantine.received, self._log
         )
         self.dispatcher = Dispatcher(
             runtime,
@@ -204,7 +204,7 @@
             settings.service,
             lambda: self.adopted.table,
             self.dispatcher,
-            hang_ups,
+            disconnects,
             call_tree,
             Authentication(names, self.lease, self.quota, self.decisions.refused_at_ingress),
             self.decisions.decided,
@@ -356,7 +356,7 @@
         self.condition.renew()
         self.destinations.drop_forgotten()
         self._watch_lease()
-        told = self.condition.told
+        told = self.condition.reported
         return Heartbeat(
             state=self._member_state(),
             slots=worker.slots,
@@ -366,7 +366,7 @@
             slowness=told.wire_slowness,
         )
 
-    def _condition_news(self, condition: Condition) -> None:
+    def _condition_changed(self, condition: Condition) -> None:
         """Tell control at once how the worker does."""
         self._log.info(
             "worker_condition",
@@ -400,7 +400,7 @@
 
     def _table_adopted(self) -> None:
         """Trust the new table, and look for the worker at the health address it names."""
-        self.lease.took(self.adopted.version)
+        self.lease.adopted(self.adopted.version)
         entry = self.adopted.table.services.get(self.settings.service)
         if self._probe is not None and entry is not None:
             self._runtime.spawn(self._find_worker, self._probe, entry.health_path)
--- a/src/cranklane/sidecar/quarantine/table.py
+++ b/src/cranklane/sidecar/quarantine/table.py
@@ -259,7 +259,7 @@
         self.suspect(service, identity)
         entry = self._entries[identity]
         # Named like an end of a worker, so that it counts after an earlier clearing too.
-        entry.ends |= {end_id(f"operator at {self._clock()}")}
+        entry.ends |= {crash_id(f"operator at {self._clock()}")}
         entry.held_until = max(entry.held_until, self._clock() + seconds)
         self._drop_surplus()
         self._tell([identity])
@@ -366,7 +366,7 @@
             del self._entries[oldest.identity]
 
 
-def end_id(instance: str) -> bytes:
+def crash_id(instance: str) -> bytes:
     """Return what names the end of a worker's start in records."""
     return bytes(sha256(instance.encode()).digest()[:END_ID_BYTES])
 
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -29,7 +29,7 @@
 from cranklane.sidecar.routing.destinations import NO_WORKER, UNREACHABLE, Destination, Destinations
 from cranklane.sidecar.routing.peers import PeerClient
 from cranklane.sidecar.routing.retry_budget import RetryBudget
-from cranklane.sidecar.worker.slowness import TypicalTimes
+from cranklane.sidecar.worker.slowness import ExpectedLatencies
 
 MAX_REFUSALS = 3
 """Sidecars that refuse for want of room before a request counts as refused."""
@@ -144,7 +144,7 @@
         self._quarantine = quarantine
         self._on_attempt = on_attempt
         self._on_quarantined = on_quarantined
-        self._times = TypicalTimes()
+        self._times = ExpectedLatencies()
 
     def run(self, call: Call) -> Reply:
         """Return the answer of a worker, or why there is none."""
--- a/src/cranklane/sidecar/routing/peers.py
+++ b/src/cranklane/sidecar/routing/peers.py
@@ -28,7 +28,7 @@
 )
 from cranklane.runtime.interface import Address, Runtime
 from cranklane.sidecar.admission.gate import Gate
-from cranklane.sidecar.ingress.hang_up import HangUpWatch
+from cranklane.sidecar.ingress.disconnect import DisconnectWatch
 from cranklane.sidecar.request.attempt import Attempt, Load, Reply, refusal, unknown
 from cranklane.sidecar.request.call_tree import CallFailure
 from cranklane.sidecar.request.slot_work import SlotWork
@@ -251,7 +251,7 @@
         self,
         runtime: Runtime,
         gate: Gate,
-        hang_ups: HangUpWatch,
+        disconnects: DisconnectWatch,
         on_news: Callable[[QuarantineNews], QuarantineNews],
         log: Any,
     ) -> None:
@@ -259,7 +259,7 @@
         self._runtime = runtime
         self._log = log
         self._gate = gate
-        self._hang_ups = hang_ups
+        self._disconnects = disconnects
         self._idle: set[RecordConnection] = set()
 
     def accept(self, stream: object, _address: Address) -> None:
@@ -303,12 +303,12 @@
         """Answer one request; return whether the connection can be used again."""
         body = None if request.whole else _body_of(records)
         attempt = Attempt(request, body)
-        self._hang_ups.add(stream, attempt.cancel)
+        self._disconnects.add(stream, attempt.cancel)
         try:
             admitted = None if request.whole else lambda: records.send(ForwardContinue())
             reply = self._gate.run(attempt, admitted)
         finally:
-            self._hang_ups.remove(stream)
+            self._disconnects.remove(stream)
         attempt.when_cancelled(None)
         if attempt.cancelled:
             if reply.rest is not None:
--- a/src/cranklane/sidecar/table/table_lease.py
+++ b/src/cranklane/sidecar/table/table_lease.py
@@ -31,20 +31,20 @@
         self._pending_at = -math.inf
         self._pending_revision = 0
 
-    def confirmed(self, newest_at: float, revision: int, adopted: int) -> None:
+    def confirmed(self, newest_at: float, revision: int, in_force: int) -> None:
         """Take that a revision was the newest at a moment of this process's clock.
 
-        :param adopted: the revision in force here; an older one waits for :meth:`took`.
+        :param in_force: the revision in force here; an older one waits for :meth:`adopted`.
         """
-        if adopted >= revision:
+        if in_force >= revision:
             self._newest_at = max(self._newest_at, newest_at)
         elif newest_at >= self._pending_at:
             self._pending_at = newest_at
             self._pending_revision = revision
 
-    def took(self, adopted: int) -> None:
+    def adopted(self, revision: int) -> None:
         """Take that a revision is in force here now."""
-        if adopted >= self._pending_revision:
+        if revision >= self._pending_revision:
             self._newest_at = max(self._newest_at, self._pending_at)
 
     @property
--- a/src/cranklane/sidecar/telemetry/decision_log.py
+++ b/src/cranklane/sidecar/telemetry/decision_log.py
@@ -22,13 +22,13 @@
 from cranklane.sidecar.routing.dispatcher import Call
 from cranklane.sidecar.telemetry.metrics import SidecarMetrics
 from cranklane.sidecar.telemetry.request_summary import End, RequestSummary, end_of
-from cranklane.sidecar.worker.end import WorkerEnd
+from cranklane.sidecar.worker.exit import WorkerExit
 
 PROBLEM_LINES_PER_SECOND = 100.0
 SUCCESS_LINES_PER_SECOND = 10.0
 SUMMARY_SECONDS = 5.0
 
-RUNS_IN_A_LINE = 100
+MAX_RUNS_IN_LINE = 100
 """Runs named in one line at the end of a worker; their number is always told."""
 
 
@@ -138,17 +138,17 @@
             seconds_left=round(seconds_left, 1),
         )
 
-    def worker_ended(self, end: WorkerEnd) -> None:
+    def worker_exited(self, exited: WorkerExit) -> None:
         """Take that the worker's process has ended, and what it was running."""
-        self._metrics.worker_ended(end.planned)
+        self._metrics.worker_exited(exited.planned)
         self._log.warning(
             "worker_ended",
-            instance=end.instance,
-            planned=end.planned,
-            running=len(end.runs),
+            instance=exited.instance,
+            planned=exited.planned,
+            running=len(exited.runs),
             runs=[
                 [run.request, run.identity.hex(), round(run.seconds, 3)]
-                for run in end.runs[:RUNS_IN_A_LINE]
+                for run in exited.runs[:MAX_RUNS_IN_LINE]
             ],
         )
 
--- a/src/cranklane/sidecar/telemetry/metrics.py
+++ b/src/cranklane/sidecar/telemetry/metrics.py
@@ -95,7 +95,7 @@
             "Requests refused for their key, their tenant's limit or a stale route table.",
             ("reason",),
         )
-        self._worker_ends = _Counter(
+        self._worker_exits = _Counter(
             "cranklane_worker_ends",
             "Ends of the worker's process that were seen by the requests it ran.",
             ("planned",),
@@ -120,7 +120,7 @@
             self._attempts,
             self._admissions,
             self._ingress_refusals,
-            self._worker_ends,
+            self._worker_exits,
             self._left_out,
             self._work,
         )
@@ -171,9 +171,9 @@
         if waited > 0:
             self._queue_seconds.observe(waited)
 
-    def worker_ended(self, planned: bool) -> None:
+    def worker_exited(self, planned: bool) -> None:
         """Count an end of the worker's process."""
-        self._worker_ends.values[("yes" if planned else "no",)] += 1
+        self._worker_exits.values[("yes" if planned else "no",)] += 1
 
     def lines_left_out(self, count: int) -> None:
         """Count log lines that were left out."""
--- a/src/cranklane/sidecar/worker/condition.py
+++ b/src/cranklane/sidecar/worker/condition.py
@@ -13,19 +13,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cranklane.sidecar.worker.fault_share import FaultShare, faded
-from cranklane.sidecar.worker.slowness import TOLERATED, Slowness, faded_ratio
+from cranklane.sidecar.worker.fault_ratio import FaultRatio, faded
+from cranklane.sidecar.worker.slowness import TOLERATED, Slowness, faded_slowness
 
-FAULTS_APART = 0.15
+FAULT_RATIO_DIFFERENCE = 0.15
 """Difference of two shares of failed runs from which callers are told."""
 
-RATIO_APART = 1.5
+SLOWNESS_QUOTIENT = 1.5
 """Quotient of two ratios from which callers are told."""
 
-LEAST_FAULTS = 0.05
+MIN_FAULT_RATIO = 0.05
 """A smaller share of failed runs is nothing to speak of."""
 
-TELL_SECONDS = 0.4
+MIN_REPORT_SECONDS = 0.4
 """Least seconds between two judgements told to control."""
 
 _PERCENT = 100
@@ -68,18 +68,18 @@
     @property
     def is_well(self) -> bool:
         """Whether the worker is like the others."""
-        return self.faults < LEAST_FAULTS and self.slowness < TOLERATED
+        return self.faults < MIN_FAULT_RATIO and self.slowness < TOLERATED
 
     def faded(self, age: float) -> Condition:
         """Return what this counts as some seconds later."""
-        return Condition(faded(self.faults, age), faded_ratio(self.slowness, age))
+        return Condition(faded(self.faults, age), faded_slowness(self.slowness, age))
 
     def is_far_from(self, other: Condition) -> bool:
         """Return whether callers would choose otherwise by the other judgement."""
-        if abs(self.faults - other.faults) > FAULTS_APART:
+        if abs(self.faults - other.faults) > FAULT_RATIO_DIFFERENCE:
             return True
         ratios = sorted((max(TOLERATED, self.slowness), max(TOLERATED, other.slowness)))
-        return ratios[1] > RATIO_APART * ratios[0]
+        return ratios[1] > SLOWNESS_QUOTIENT * ratios[0]
 
 
 WELL = Condition()
@@ -89,17 +89,17 @@
     """The judgement of a sidecar on its own worker, and what it has told of it.
 
     :param clock: monotonic seconds.
-    :param on_news: called when callers should be told of a new judgement.
+    :param on_report: called when callers should be told of a new judgement.
     :ivar told: what control is to be told.
     """
 
-    def __init__(self, clock: Callable[[], float], on_news: Callable[[Condition], None]) -> None:
+    def __init__(self, clock: Callable[[], float], on_report: Callable[[Condition], None]) -> None:
         self._clock = clock
-        self._on_news = on_news
-        self._faults = FaultShare()
+        self._on_report = on_report
+        self._faults = FaultRatio()
         self._slowness = Slowness()
-        self._told_at = clock()
-        self.told = WELL
+        self._reported_at = clock()
+        self.reported = WELL
 
     def run_ended(self, failed: bool, ratio: float | None) -> None:
         """Take how a run ended.
@@ -113,7 +113,7 @@
         if ratio is not None:
             self._slowness.sample(now, ratio)
         if self.renew():
-            self._on_news(self.told)
+            self._on_report(self.reported)
 
     def now(self) -> Condition:
         """Return the judgement now."""
@@ -122,20 +122,20 @@
 
     def renew(self) -> bool:
         """Judge anew what is to be told; return whether that has changed."""
-        if not self._has_news():
+        if not self._should_report():
             return False
         current = self.now()
-        self.told = WELL if current.is_well else current
-        self._told_at = self._clock()
+        self.reported = WELL if current.is_well else current
+        self._reported_at = self._clock()
         return True
 
-    def _has_news(self) -> bool:
-        age = self._clock() - self._told_at
-        if age < TELL_SECONDS:
+    def _should_report(self) -> bool:
+        age = self._clock() - self._reported_at
+        if age < MIN_REPORT_SECONDS:
             return False
         current = self.now()
-        believed = self.told.faded(age)
+        believed = self.reported.faded(age)
         if current.is_far_from(believed):
             return True
         # What was told stays with control until something else is.
-        return current.is_well and believed.is_well and not self.told.is_well
+        return current.is_well and believed.is_well and not self.reported.is_well
--- a/src/cranklane/sidecar/worker/end.py
+++ b/src/cranklane/sidecar/worker/exit.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndedRun:
+class InterruptedRun:
     """A run that was under way when the worker ended.
 
     :ivar seconds: since it began.
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WorkerEnd:
+class WorkerExit:
     """The end of one start of the worker.
 
     :ivar planned: whether the worker had told that it leaves.
@@ -53,7 +53,7 @@
 
     instance: str
     planned: bool
-    runs: tuple[EndedRun, ...]
+    runs: tuple[InterruptedRun, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,20 +63,20 @@
     level: int
 
 
-class WorkerEnds:
+class WorkerExits:
     """The runs under way at the worker, and what becomes of them when it ends.
 
-    :param on_end: told once of each end.
+    :param on_exit: told once of each end.
     """
 
     def __init__(
-        self, runtime: Runtime, worker: WorkerRegistry, on_end: Callable[[WorkerEnd], None]
+        self, runtime: Runtime, worker: WorkerRegistry, on_exit: Callable[[WorkerExit], None]
     ) -> None:
         self._clock = runtime.monotonic
         self._worker = worker
-        self._on_end = on_end
+        self._on_exit = on_exit
         self._check = (
-            WorkerEndCheck(runtime, worker.address, worker.pool)
+            WorkerExitCheck(runtime, worker.address, worker.pool)
             if worker.address is not None and worker.pool is not None
             else None
         )
@@ -110,13 +110,13 @@
             return False
         if instance != self._ended_instance:
             self._ended_instance = instance
-            self._on_end(WorkerEnd(instance, planned, self._runs_now()))
+            self._on_exit(WorkerExit(instance, planned, self._runs_now()))
         return True
 
-    def _runs_now(self) -> tuple[EndedRun, ...]:
+    def _runs_now(self) -> tuple[InterruptedRun, ...]:
         now = self._clock()
         return tuple(
-            EndedRun(
+            InterruptedRun(
                 run.request.request_id,
                 identity_of_request(run.request),
                 now - run.began_at,
@@ -131,7 +131,7 @@
     return identity_of(request.service, request.tenant, request.lines, request.body, request.length)
 
 
-class WorkerEndCheck:
+class WorkerExitCheck:
     """Finds out whether the worker has ended, once for all who ask at the same time.
 
     :param pool: gets the connection of a worker that has not.
--- a/src/cranklane/sidecar/worker/slowness.py
+++ b/src/cranklane/sidecar/worker/slowness.py
@@ -11,7 +11,7 @@
 """Weights of a new time in a route's typical one. It falls faster than it rises, so
 that one slow worker among several does not pass for typical."""
 
-LEAST_SECONDS = 0.001
+MIN_LATENCY_SECONDS = 0.001
 MAX_ROUTES = 4096
 """Routes whose typical times are kept; beyond that all are learnt anew."""
 
@@ -32,13 +32,13 @@
     >>> ratio_to(0.1, 0.4), ratio_to(0.0, 0.4)
     (4.0, 1.0)
     """
-    return seconds / typical if typical > LEAST_SECONDS else 1.0
+    return seconds / typical if typical > MIN_LATENCY_SECONDS else 1.0
 
 
-def faded_ratio(ratio: float, age: float) -> float:
+def faded_slowness(ratio: float, age: float) -> float:
     """Return what a ratio learnt some seconds ago counts as now.
 
-    >>> faded_ratio(5.0, 0.0), faded_ratio(5.0, 6.0), faded_ratio(1.5, 6.0)
+    >>> faded_slowness(5.0, 0.0), faded_slowness(5.0, 6.0), faded_slowness(1.5, 6.0)
     (5.0, 3.0, 1.5)
     """
     if ratio < TOLERATED:
@@ -46,7 +46,7 @@
     return 1.0 + (ratio - 1.0) * 0.5 ** (age / HALF_LIFE_SECONDS)
 
 
-class TypicalTimes:
+class ExpectedLatencies:
     """The typical time of a run of each route, over all workers."""
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
     def ratio(self, route: str, seconds: float) -> float:
         """Return how many times the typical time a run took, and learn from it.
 
-        >>> times = TypicalTimes()
+        >>> times = ExpectedLatencies()
         >>> times.ratio("r", 0.1), round(times.ratio("r", 0.4), 3)
         (1.0, 4.0)
         """
@@ -90,4 +90,4 @@
 
     def ratio(self, now: float) -> float:
         """Return the smoothed multiple; 1 without news."""
-        return faded_ratio(self._ratio, now - self._at)
+        return faded_slowness(self._ratio, now - self._at)
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -19,7 +19,7 @@
 from cranklane.sidecar.request.attempt import Load
 from cranklane.sidecar.routing.destinations import Destination, Destinations
 from cranklane.sidecar.worker.condition import Condition, WorkerCondition
-from cranklane.sidecar.worker.slowness import TypicalTimes, ratio_to
+from cranklane.sidecar.worker.slowness import ExpectedLatencies, ratio_to
 
 SERVICE = "service"
 ROUTE = "route"
@@ -136,7 +136,7 @@
         }
         whole = MemberDelta(True, [self._member(worker) for worker in self._workers.values()])
         self._callers = [self._caller(number, whole) for number in range(shape.callers)]
-        self._times = [TypicalTimes() for _ in range(shape.callers)]
+        self._times = [ExpectedLatencies() for _ in range(shape.callers)]
         self._rate = shape.load * shape.workers * shape.slots / shape.work_seconds
 
     def play(self) -> Outcome:
@@ -174,7 +174,7 @@
 
     def _member(self, worker: _Worker) -> Member:
         number = int(worker.node.rpartition("-")[2])
-        told = worker.condition.told
+        told = worker.condition.reported
         return Member(
             incarnation=1,
             sequence=worker.sequence,
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -30,7 +30,7 @@
 from cranklane.replication.peer_service import PeerService
 from cranklane.routes.splitter import Splitter
 from cranklane.sidecar.admission.outcome_limiter import OutcomeLimiter
-from cranklane.sidecar.ingress.hang_up import HangUpWatch
+from cranklane.sidecar.ingress.disconnect import DisconnectWatch
 from cranklane.sidecar.process import Sidecar
 from cranklane.sidecar.request.call_tree import CallTree
 from cranklane.sidecar.routing import destinations
@@ -39,7 +39,7 @@
 from cranklane.sidecar.routing.retry_budget import RetryBudget
 from cranklane.sidecar.worker.condition import Condition, WorkerCondition
 from cranklane.sidecar.worker.exchange import WorkerExchange
-from cranklane.sidecar.worker.fault_share import FaultShare
+from cranklane.sidecar.worker.fault_ratio import FaultRatio
 from cranklane.sidecar.worker.probe import WorkerProbe
 from cranklane.sidecar.worker.registry import WorkerRegistry
 
@@ -103,7 +103,7 @@
         test_mesh_overload.test_requests_sent_to_a_second_worker_stay_within_the_budget,
     ),
     "hang-up watch": (
-        HangUpWatch,
+        DisconnectWatch,
         "add",
         lambda self, connection, action: None,
         test_mesh.test_a_caller_that_leaves_ends_the_work_within_half_a_second,
@@ -216,7 +216,7 @@
         lambda: test_mesh_workers.test_a_worker_much_worse_than_others_gets_little("slow", 15),
     ),
     "share of faults": (
-        FaultShare,
+        FaultRatio,
         "sample",
         lambda self, now, failed: None,
         lambda: test_mesh_workers.test_a_worker_much_worse_than_others_gets_little("failing", 60),
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -14,7 +14,7 @@
     TRIAL_SECONDS,
     Quarantine,
     Standing,
-    end_id,
+    crash_id,
 )
 from cranklane.sidecar.request.identity import identity_of
 
@@ -38,7 +38,7 @@
         self.table = Quarantine(clock, self.news.extend)
 
     def end(self, name, *runs):
-        self.table.worker_ended("s", end_id(name), dict(runs))
+        self.table.worker_ended("s", crash_id(name), dict(runs))
 
 
 @pytest.fixture
@@ -213,7 +213,7 @@
 
 
 def test_an_entry_outlives_its_record():
-    entry = QuarantineEntry(5000, False, "s", end_id("one"), GUILTY)
+    entry = QuarantineEntry(5000, False, "s", crash_id("one"), GUILTY)
     assert QuarantineEntry.unpack(entry.pack()).identity == GUILTY
 
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -302,7 +302,7 @@
     now = [100.0]
     lease = TableLease(lambda: now[0], 5.0)
     assert not lease.holds
-    lease.confirmed(newest_at=96.0, revision=3, adopted=3)
+    lease.confirmed(newest_at=96.0, revision=3, in_force=3)
     assert lease.holds
     now[0] = 101.0
     assert not lease.holds
@@ -311,11 +311,11 @@
 def test_a_confirmed_table_counts_once_it_is_in_force():
     now = [100.0]
     lease = TableLease(lambda: now[0], 5.0)
-    lease.confirmed(newest_at=100.0, revision=4, adopted=3)
+    lease.confirmed(newest_at=100.0, revision=4, in_force=3)
     assert not lease.holds
-    lease.took(3)
+    lease.adopted(3)
     assert not lease.holds
-    lease.took(4)
+    lease.adopted(4)
     assert lease.holds
 
 
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -11,7 +11,7 @@
 from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Member, MemberDelta
 from cranklane.sidecar.routing.destinations import Destinations
-from cranklane.sidecar.worker.condition import TELL_SECONDS, WELL, Condition, WorkerCondition
+from cranklane.sidecar.worker.condition import MIN_REPORT_SECONDS, WELL, Condition, WorkerCondition
 from cranklane_lab.evidence.report import run_evidence
 from cranklane_lab.evidence.trial import Shape, Trial
 from mesh_support import play
@@ -85,7 +85,7 @@
     for number in range(4000):
         clock.now += 0.001
         condition.run_ended(number % 400 < 200, 1.0)
-    assert 2 <= len(news) <= 4.0 / TELL_SECONDS
+    assert 2 <= len(news) <= 4.0 / MIN_REPORT_SECONDS
 
 
 def test_a_worker_that_gets_nothing_any_more_is_told_to_be_well_in_time():
@@ -93,10 +93,10 @@
     clock.now += 1.0
     for _ in range(10):
         condition.run_ended(True, 8.0)
-    assert not condition.told.is_well
+    assert not condition.reported.is_well
     clock.now += 30.0
     assert condition.renew()
-    assert condition.told is WELL
+    assert condition.reported is WELL
 
 
 def destinations_with(clock, **fields):
--- a/tests/test_worker_end.py
+++ b/tests/test_worker_end.py
@@ -12,13 +12,13 @@
 def ends_seen(machine):
     """Have the ends of a machine's worker noted; return the list of them."""
     seen = []
-    tell = machine.sidecar.gate._ends._on_end
+    tell = machine.sidecar.gate._exits._on_exit
 
     def on_end(end):
         seen.append(end)
         tell(end)
 
-    machine.sidecar.gate._ends._on_end = on_end
+    machine.sidecar.gate._exits._on_exit = on_end
     return seen
 
 
