--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -12,18 +12,12 @@
 from dataclasses import dataclass
 from typing import Any
 
-from result import Ok
-
 from cranklane.control.store import ConfigurationStore
-from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.publisher import Publisher, Subscriber
 from cranklane.distribution.subscription import Subscription
 from cranklane.ledger.store import LedgerDecision, LedgerStore
-from cranklane.node import balancer as balancer_module
 from cranklane.node.admission import Admission
 from cranklane.node.allowance import Allowance
-from cranklane.node.balancer import Balancer
-from cranklane.node.concurrency import ConcurrencyLimit
 from cranklane.node.fair_queue import FairQueue
 from cranklane.node.outbound import Outbound
 from cranklane.node.peer_connection import PeerCall, PeerConnection
@@ -221,46 +215,6 @@
     return [Replacement(LedgerStore, "_begin", begin)]
 
 
-def _everything_admitted() -> list[Replacement]:
-    def admit(self: Admission, tenant: str, criticality: Any, *_rest: Any, **_more: Any) -> Any:
-        return Ok(self._occupy(tenant, criticality))
-
-    return [Replacement(Admission, "admit", admit)]
-
-
-def _never_refused_early() -> list[Replacement]:
-    return [Replacement(Outbound, "_refused_early", lambda _self, *_call: False)]
-
-
-def _limit_stays() -> list[Replacement]:
-    return [Replacement(ConcurrencyLimit, "shed", lambda _self: None)]
-
-
-def _waits_whatever_the_deadline() -> list[Replacement]:
-    return [Replacement(Admission, "_wait_for", lambda _self, *_call: 0.0)]
-
-
-def _members_in_turn() -> list[Replacement]:
-    def choose(self: Balancer, members: Any, excluded: Any = frozenset()) -> Any:
-        live = [
-            member
-            for member in members
-            if member.state is MemberState.LIVE and member.node not in excluded
-        ]
-        if not live:
-            return None
-        turn = self.__dict__.setdefault("_turn", {})
-        key = live[0].node.rpartition("-")[0]
-        turn[key] = turn.get(key, -1) + 1
-        return live[turn[key] % len(live)]
-
-    return [Replacement(Balancer, "choose", choose)]
-
-
-def _zones_ignored() -> list[Replacement]:
-    return [Replacement(balancer_module, "SPILL_LOAD", -1.0)]
-
-
 def _unsynced_log() -> list[Replacement]:
     return [Replacement(Log, "sync", lambda self: self.last_index)]
 
@@ -283,16 +237,6 @@
     Mechanism("request-memory", "a resend gets the first answer", _requests_forgotten),
     Mechanism("replica-identity", "an empty disk is another replica", _identity_by_name),
     Mechanism("ledger", "only the attempt that created an entry runs", _every_attempt_runs),
-    Mechanism("admission", "the node's own limit and queue", _everything_admitted),
-    Mechanism("early-refusal", "callers refuse what is refused below", _never_refused_early),
-    Mechanism("adaptive-limit", "the limit falls while the worker sheds", _limit_stays),
-    Mechanism(
-        "deadline-queue",
-        "a call that cannot be done in time is refused at once",
-        _waits_whatever_the_deadline,
-    ),
-    Mechanism("load-routing", "members are chosen by their load", _members_in_turn),
-    Mechanism("zones", "the own zone goes first while it has room", _zones_ignored),
     Mechanism("log-sync", "an entry counts only once it is synced", _unsynced_log),
 )
 
