--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -17,10 +17,10 @@
 from cranklane.records.messages import ForwardRequest
 from cranklane.runtime.interface import Runtime
 from cranklane.sidecar.admission import retry_after
-from cranklane.sidecar.admission.lone_runs import LoneRuns, SuspectAdmission
+from cranklane.sidecar.admission.isolated_runs import IsolatedRuns, SuspectAdmission
 from cranklane.sidecar.admission.outcome_limiter import OutcomeLimiter
 from cranklane.sidecar.admission.slots import Slots, Waiter
-from cranklane.sidecar.quarantine.table import Quarantine, Standing, crash_id
+from cranklane.sidecar.quarantine.table import Quarantine, QuarantineState, crash_id
 from cranklane.sidecar.request.attempt import Attempt, Load, Reply, refusal, unknown
 from cranklane.sidecar.request.call_tree import CallTree, Root, Run
 from cranklane.sidecar.request.identity import Identity
@@ -129,7 +129,7 @@
         self._on_worker_exit = on_worker_exit
         self._exits = WorkerExits(runtime, worker, self._worker_exited)
         self._quarantine = quarantine
-        self._lone_runs = LoneRuns(runtime.monotonic, quarantine)
+        self._isolated_runs = IsolatedRuns(runtime.monotonic, quarantine)
         self._exchange = (
             WorkerExchange(runtime, worker.pool, names, worker.other_instance)
             if worker.pool is not None
@@ -159,12 +159,12 @@
     def _run(self, attempt: Attempt, on_admitted: Any) -> Reply:
         request = attempt.request
         arrived_at = self._runtime.monotonic()
-        admission = self._lone_runs.admit(request, self._ends_wait(attempt))
+        admission = self._isolated_runs.admit(request, self._ends_wait(attempt))
         reason = admission.reason
         if reason is Reason.NONE:
             reason = self._admit(attempt)
-            if reason is not Reason.NONE and admission.lone is not None:
-                self._lone_runs.release(admission.lone, 0.0)
+            if reason is not Reason.NONE and admission.isolated is not None:
+                self._isolated_runs.release(admission.isolated, 0.0)
         started_at = self._runtime.monotonic()
         slots = self._slots
         self._on_admission(
@@ -212,12 +212,12 @@
         run = self._call_tree.begin(
             request.request_id, _root_of(request, arrived_at), request.tenant
         )
-        lone = admission.lone
+        isolated = admission.isolated
         number = self._exits.next_number()
         instance = self._worker.instance
-        release = partial(self._release, request.request_id, number, started_at, lone)
-        if lone is not None:
-            self._lone_runs.begins(lone)
+        release = partial(self._release, request.request_id, number, started_at, isolated)
+        if isolated is not None:
+            self._isolated_runs.begins(isolated)
         try:
             if on_admitted is not None:
                 on_admitted()
@@ -272,7 +272,7 @@
             # under way before have not ended the worker.
             runs = sorted(end.runs, key=_level_of, reverse=True)
             levels = {run.identity: run.level for run in runs}
-            self._quarantine.worker_ended(self._worker.service, crash_id(end.instance), levels)
+            self._quarantine.worker_crashed(self._worker.service, crash_id(end.instance), levels)
 
     def _reply_of_exit(self, request: ForwardRequest) -> Reply:
         """Return the reply to a run whose worker has ended.
@@ -284,7 +284,7 @@
             return unknown(Reason.WORKER_LEFT)
         reply = unknown(Reason.WORKER_ENDED)
         identity = identity_of_request(request)
-        if self._quarantine.standing(identity) is Standing.HELD:
+        if self._quarantine.state(identity) is QuarantineState.QUARANTINED:
             reply.retry_after_ms = retry_after.quarantined_ms(
                 self._quarantine.seconds_left(identity)
             )
@@ -313,13 +313,15 @@
 
         return on_wait
 
-    def _release(self, request: str, number: int, started_at: float, lone: Identity | None) -> None:
+    def _release(
+        self, request: str, number: int, started_at: float, isolated: Identity | None
+    ) -> None:
         held_seconds = self._runtime.monotonic() - started_at
         self._call_tree.end(request)
         self._exits.ended(number)
         self._slots.release(held_seconds)
-        if lone is not None:
-            self._lone_runs.release(lone, held_seconds)
+        if isolated is not None:
+            self._isolated_runs.release(isolated, held_seconds)
 
     def _expected_wait(self) -> float:
         """Return the seconds until a request of the highest priority would start."""
--- a/src/cranklane/sidecar/admission/lone_runs.py
+++ b/src/cranklane/sidecar/admission/isolated_runs.py
@@ -18,7 +18,7 @@
 from cranklane.records.messages import ForwardRequest
 from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.admission.slots import Slots, Waiter
-from cranklane.sidecar.quarantine.table import Quarantine, Standing
+from cranklane.sidecar.quarantine.table import Quarantine, QuarantineState
 from cranklane.sidecar.request.identity import Identity
 from cranklane.sidecar.worker.exit import identity_of_request
 
@@ -32,25 +32,25 @@
 
     :ivar reason: why it may not, NONE when it may.
     :ivar level: how strongly it is suspected as it begins.
-    :ivar lone: its identity where it has the one place for suspects that run alone.
+    :ivar isolated: its identity where it has the one place for suspects that run alone.
     """
 
     reason: Reason = Reason.NONE
     level: int = 0
-    lone: Identity | None = None
+    isolated: Identity | None = None
     retry_after_ms: int = 0
 
 
 _UNSUSPECTED = SuspectAdmission()
 
 
-class LoneRuns:
+class IsolatedRuns:
     """The one place at a worker for suspects that run alone."""
 
     def __init__(self, clock: Callable[[], float], quarantine: Quarantine) -> None:
         self._quarantine = quarantine
-        self._place = Slots(clock)
-        self._place.resize(1)
+        self._slot = Slots(clock)
+        self._slot.resize(1)
         # Those that have the place or wait for it; set when the run of one has ended.
         self._ended: dict[Identity, Event] = {}
 
@@ -60,27 +60,27 @@
             return _UNSUSPECTED
         identity = identity_of_request(request)
         if request.suspected:
-            self._quarantine.repeated(request.service, identity)
-        admission = self._without_place(identity)
+            self._quarantine.retried(request.service, identity)
+        admission = self._without_slot(identity)
         if admission is not None:
             return admission
-        level = self._quarantine.level(identity)
-        on_trial = self._quarantine.standing(identity) is Standing.ON_TRIAL
-        if request.suspected and level == SEEN_ONCE and not on_trial:
+        level = self._quarantine.suspicion_level(identity)
+        on_probation = self._quarantine.state(identity) is QuarantineState.ON_PROBATION
+        if request.suspected and level == SEEN_ONCE and not on_probation:
             return SuspectAdmission(level=level)
         if not request.isolated:
             return SuspectAdmission(Reason.SUSPECTED)
         ended = self._ended.get(identity)
         if ended is not None:
             return self._after_copy(request, identity, ended)
-        return self._take_place(request, identity, on_wait)
+        return self._take_slot(request, identity, on_wait)
 
-    def _without_place(self, identity: Identity) -> SuspectAdmission | None:
+    def _without_slot(self, identity: Identity) -> SuspectAdmission | None:
         """Return the admission of a request that needs no place; None for one that does."""
-        standing = self._quarantine.standing(identity)
-        if standing is Standing.CLEAR:
+        state = self._quarantine.state(identity)
+        if state is QuarantineState.CLEAR:
             return _UNSUSPECTED
-        if standing is Standing.HELD:
+        if state is QuarantineState.QUARANTINED:
             left_ms = retry_after.quarantined_ms(self._quarantine.seconds_left(identity))
             return SuspectAdmission(Reason.QUARANTINED, retry_after_ms=left_ms)
         return None
@@ -90,13 +90,13 @@
     ) -> SuspectAdmission:
         """Wait for what becomes of a copy of a request that was here before it."""
         ended.wait(request.start_within_ms / MILLISECONDS)
-        return self._without_place(identity) or SuspectAdmission(Reason.RUN_ALONE)
+        return self._without_slot(identity) or SuspectAdmission(Reason.RUN_ALONE)
 
-    def _take_place(
+    def _take_slot(
         self, request: ForwardRequest, identity: Identity, on_wait: Callable[[Waiter], None]
     ) -> SuspectAdmission:
         self._ended[identity] = Event()
-        reason = self._place.acquire(
+        reason = self._slot.acquire(
             request.root_priority,
             request.start_within_ms / MILLISECONDS,
             on_wait,
@@ -105,21 +105,21 @@
         if reason is not Reason.NONE:
             self._end(identity)
             return SuspectAdmission(reason)
-        admission = self._without_place(identity)
+        admission = self._without_slot(identity)
         if admission is not None:
             # Another gate has found out meanwhile.
             self.release(identity, 0.0)
             return admission
-        return SuspectAdmission(level=self._quarantine.level(identity), lone=identity)
+        return SuspectAdmission(level=self._quarantine.suspicion_level(identity), isolated=identity)
 
     def begins(self, identity: Identity) -> None:
         """Take that the run of a suspect that has the place begins now."""
-        if self._quarantine.standing(identity) is Standing.ON_TRIAL:
-            self._quarantine.trial_begins(identity)
+        if self._quarantine.state(identity) is QuarantineState.ON_PROBATION:
+            self._quarantine.probation_run_begins(identity)
 
     def release(self, identity: Identity, held_seconds: float) -> None:
         """Give the place back, after all is known of the run."""
-        self._place.release(held_seconds)
+        self._slot.release(held_seconds)
         self._end(identity)
 
     def _end(self, identity: Identity) -> None:
--- a/src/cranklane/sidecar/admission/slots.py
+++ b/src/cranklane/sidecar/admission/slots.py
@@ -32,10 +32,10 @@
 
 MAX_AGE_SECONDS = 1.5
 
-HOLD_WEIGHT = 0.05
+SLOT_SECONDS_WEIGHT = 0.05
 """Weight of the newest request in the smoothed time that a slot is held."""
 
-FIRST_HOLD_SECONDS = 0.05
+INITIAL_SLOT_SECONDS = 0.05
 
 SPARE_ENTRIES = 8
 """Entries of waits that have ended which are kept before they are looked for."""
@@ -78,7 +78,7 @@
     :ivar running: requests that run now.
     :ivar queued: requests that wait now. Each counts until it is granted a slot or its
         own task has seen that it is not; entries of the others may stand a while longer.
-    :ivar hold: smoothed seconds that a request keeps its slot.
+    :ivar slot_seconds: smoothed seconds that a request keeps its slot.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -89,7 +89,7 @@
         self.queued = 0
         self.limit = 0
         self.running = 0
-        self.hold = FIRST_HOLD_SECONDS
+        self.slot_seconds = INITIAL_SLOT_SECONDS
 
     def expected_wait(self, rank: Rank) -> float:
         """Return the seconds until a request of a rank would start; without end if never."""
@@ -98,7 +98,7 @@
         if self.limit <= 0:
             return math.inf
         ahead = bisect_right(self._waiting, (rank,))
-        return (ahead + 1) * self.hold / self.limit
+        return (ahead + 1) * self.slot_seconds / self.limit
 
     def rank(self, priority: int, wait_seconds: float, root_age: float = 0.0) -> Rank:
         """Return the place in the order of a request that comes now.
@@ -143,7 +143,7 @@
 
     def release(self, held_seconds: float) -> None:
         """Give a slot back after a request that held it for so long."""
-        self.hold += HOLD_WEIGHT * (held_seconds - self.hold)
+        self.slot_seconds += SLOT_SECONDS_WEIGHT * (held_seconds - self.slot_seconds)
         self.running -= 1
         self._grant()
 
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -44,8 +44,8 @@
 from cranklane.sidecar.ingress.disconnect import DisconnectWatch
 from cranklane.sidecar.ingress.ingress import Ingress
 from cranklane.sidecar.quarantine.api import QuarantineApi
+from cranklane.sidecar.quarantine.gossip import QuarantineGossip
 from cranklane.sidecar.quarantine.sidecar_directory import SidecarDirectory
-from cranklane.sidecar.quarantine.spread import QuarantineSpread
 from cranklane.sidecar.request.call_tree import CallTree
 from cranklane.sidecar.routing.destinations import Destinations
 from cranklane.sidecar.routing.dispatcher import Dispatcher
@@ -152,7 +152,7 @@
         self.decisions = DecisionLog(runtime.monotonic, self.metrics, self._log)
         self.peers = PeerClient(runtime, self._hello)
         self.directory = SidecarDirectory(runtime.monotonic, settings.name)
-        self.quarantine = QuarantineSpread(
+        self.quarantine = QuarantineGossip(
             runtime,
             self.directory,
             settings.name,
@@ -262,7 +262,7 @@
         )
 
     def _held_requests(self) -> float:
-        return len(self.quarantine.table.held())
+        return len(self.quarantine.table.quarantined())
 
     def _faults(self) -> float:
         return self.condition.now().faults
--- a/src/cranklane/sidecar/quarantine/api.py
+++ b/src/cranklane/sidecar/quarantine/api.py
@@ -15,7 +15,7 @@
 
 from cranklane.common.secret_digest import secret_digest
 from cranklane.common.small_http import SmallAnswer, SmallHandler
-from cranklane.sidecar.quarantine.table import MOST_HOLD_SECONDS, Quarantine
+from cranklane.sidecar.quarantine.table import MAX_QUARANTINE_SECONDS, Quarantine
 from cranklane.sidecar.request.identity import IDENTITY_BYTES, Identity
 
 QUARANTINE_PATH = "/v1/quarantine"
@@ -62,7 +62,7 @@
                 "seconds_left": round(self._table.seconds_left(entry.identity), 1),
                 "ends": len(entry.ends),
             }
-            for entry in self._table.held()
+            for entry in self._table.quarantined()
         ]
 
     def _changed(
@@ -97,9 +97,9 @@
             return Err("service: a name is needed")
         if isinstance(seconds, bool) or not isinstance(seconds, int | float):
             return Err("seconds: a number is needed")
-        if not 0 < seconds <= MOST_HOLD_SECONDS:
-            return Err(f"seconds: a number up to {MOST_HOLD_SECONDS:.0f} is needed")
-        self._table.hold(service, identity, float(seconds))
+        if not 0 < seconds <= MAX_QUARANTINE_SECONDS:
+            return Err(f"seconds: a number up to {MAX_QUARANTINE_SECONDS:.0f} is needed")
+        self._table.quarantine(service, identity, float(seconds))
         self._log.warning("hold_added", identity=identity.hex(), service=service, seconds=seconds)
         return Ok(None)
 
--- a/src/cranklane/sidecar/quarantine/spread.py
+++ b/src/cranklane/sidecar/quarantine/gossip.py
@@ -51,7 +51,7 @@
 """Sends news to a sidecar and returns its answer, None when it gives none."""
 
 
-class QuarantineSpread:
+class QuarantineGossip:
     """Sends and takes news of suspected and held requests.
 
     :param service: returns the service of this machine's worker.
@@ -148,7 +148,7 @@
             self.table.filled.wait()
             gevent.sleep(COMPARE_SECONDS)
             self.table.forget_old()
-            if self.table.held():
+            if self.table.quarantined():
                 self._learn()
 
     def catch_up(self) -> None:
--- a/src/cranklane/sidecar/quarantine/table.py
+++ b/src/cranklane/sidecar/quarantine/table.py
@@ -26,35 +26,35 @@
 from cranklane.records.messages import QuarantineEntry
 from cranklane.sidecar.request.identity import Identity
 
-FIRST_HOLD_SECONDS = 5.0
+FIRST_QUARANTINE_SECONDS = 5.0
 """Hold after the first end that speaks against a request alone. One such end may be a chance, as
 when the worker's machine fails in that moment; the pause lets the workers that have ended come
 back (some seconds) before the next one is risked, and costs an innocent no more than that."""
 
-LONG_HOLD_SECONDS = 300.0
-"""Hold after the second such end; it doubles with each further one. Each trial of a guilty
+SECOND_QUARANTINE_SECONDS = 300.0
+"""Hold after the second such end; it doubles with each further one. Each probation of a guilty
 request costs a worker and all that runs there."""
 
-MOST_HOLD_SECONDS = 3600.0
+MAX_QUARANTINE_SECONDS = 3600.0
 """Longest hold: whoever mends the worker gets the request served within this time, or lifts the
 hold."""
 
-TRIAL_SECONDS = 10.0
+PROBATION_RUN_SECONDS = 10.0
 """Others go on to refuse a request for this long while one gate tries it again: longer than
 nearly all runs."""
 
-SUSPECT_SECONDS = 120.0
+SUSPICION_SECONDS = 120.0
 """A suspect that is not seen again is forgotten after this long: later it is no more likely to
 be guilty than any other request, and a table that is empty costs nothing."""
 
-MOST_SUSPECTS = 1024
+MAX_SUSPECTED = 1024
 """Suspects kept, the newest: the runs of some tens of workers."""
 
-MOST_HELD = 256
+MAX_QUARANTINED = 256
 """Requests held at a time. Of more, those whose hold ends first are let go, so that a flood of
 ever new ones cannot fill the memory."""
 
-MOST_CLEARED = 256
+MAX_CLEARED = 256
 """Cleared requests remembered, so that news that is older than the clearing changes nothing."""
 
 CLEARED_SECONDS = 1.0
@@ -62,44 +62,44 @@
 request that many send is cleared within milliseconds of an end; without this, twelve more of
 2,000 such requests failed when two pairs of workers ended 2 to 80 ms apart (simulation)."""
 
-HELD_AGREES_SECONDS = 1.0
+SAME_QUARANTINE_SECONDS = 1.0
 """Two times until which a request is held that differ by less are the same, told by ways of
 different length."""
 
-END_ID_BYTES = 8
+CRASH_ID_BYTES = 8
 """Bytes that name an end of a worker in records."""
 
 
-class Standing(Enum):
+class QuarantineState(Enum):
     """What is known of a request.
 
-    :cvar ON_TRIAL: held until now; one lone run shows whether it still ends workers.
+    :cvar ON_PROBATION: held until now; one isolated run shows whether it still ends workers.
     """
 
     CLEAR = "clear"
-    SUSPECT = "suspect"
-    HELD = "held"
-    ON_TRIAL = "on_trial"
+    SUSPECTED = "suspected"
+    QUARANTINED = "quarantined"
+    ON_PROBATION = "on_probation"
 
 
 @dataclass(slots=True)
-class Held:
+class QuarantinedRequest:
     """One request that is suspected or held.
 
     :ivar ends: the ends of workers that speak against it, each by its name.
-    :ivar held_until: second until which it is refused; never held: -inf.
+    :ivar quarantined_until: second until which it is refused; never held: -inf.
     """
 
     identity: Identity
     service: str
     seen_at: float
     ends: frozenset[bytes] = field(default_factory=frozenset)
-    held_until: float = -math.inf
+    quarantined_until: float = -math.inf
 
     @property
-    def is_held(self) -> bool:
+    def was_quarantined(self) -> bool:
         """Whether it was ever held."""
-        return self.held_until > -math.inf
+        return self.quarantined_until > -math.inf
 
     @property
     def level(self) -> int:
@@ -115,15 +115,15 @@
     at: float
 
 
-def hold_seconds(ends: int) -> float:
+def quarantine_seconds(ends: int) -> float:
     """Return how long a request is held when so many ends speak against it.
 
-    >>> [hold_seconds(ends) for ends in (1, 2, 3, 9)]
+    >>> [quarantine_seconds(ends) for ends in (1, 2, 3, 9)]
     [5.0, 300.0, 600.0, 3600.0]
     """
     if ends < 2:
-        return FIRST_HOLD_SECONDS
-    return float(min(MOST_HOLD_SECONDS, LONG_HOLD_SECONDS * 2 ** (ends - 2)))
+        return FIRST_QUARANTINE_SECONDS
+    return float(min(MAX_QUARANTINE_SECONDS, SECOND_QUARANTINE_SECONDS * 2 ** (ends - 2)))
 
 
 class Quarantine:
@@ -140,7 +140,7 @@
         self._clock = clock
         self._on_news = on_news
         # In the order in which they were seen last.
-        self._entries: OrderedDict[Identity, Held] = OrderedDict()
+        self._entries: OrderedDict[Identity, QuarantinedRequest] = OrderedDict()
         self._cleared: OrderedDict[Identity, _Cleared] = OrderedDict()
         self.filled = Event()
 
@@ -149,22 +149,22 @@
         """Whether no request is suspected or held."""
         return not self._entries
 
-    def standing(self, identity: Identity) -> Standing:
+    def state(self, identity: Identity) -> QuarantineState:
         """Return what is known of a request."""
         entry = self._entries.get(identity)
         if entry is None:
-            return Standing.CLEAR
+            return QuarantineState.CLEAR
         now = self._clock()
-        if entry.held_until > now:
-            return Standing.HELD
-        if entry.is_held:
-            return Standing.ON_TRIAL
-        if now - entry.seen_at > SUSPECT_SECONDS:
+        if entry.quarantined_until > now:
+            return QuarantineState.QUARANTINED
+        if entry.was_quarantined:
+            return QuarantineState.ON_PROBATION
+        if now - entry.seen_at > SUSPICION_SECONDS:
             del self._entries[identity]
-            return Standing.CLEAR
-        return Standing.SUSPECT
+            return QuarantineState.CLEAR
+        return QuarantineState.SUSPECTED
 
-    def level(self, identity: Identity) -> int:
+    def suspicion_level(self, identity: Identity) -> int:
         """Return how strongly a request is suspected; 0 for one that is not."""
         entry = self._entries.get(identity)
         return entry.level if entry is not None else 0
@@ -172,18 +172,18 @@
     def seconds_left(self, identity: Identity) -> float:
         """Return how much longer a request is held."""
         entry = self._entries.get(identity)
-        return max(0.0, entry.held_until - self._clock()) if entry is not None else 0.0
+        return max(0.0, entry.quarantined_until - self._clock()) if entry is not None else 0.0
 
-    def held(self) -> list[Held]:
-        """Return the requests that are held, or wait for a trial."""
-        return [entry for entry in self._entries.values() if entry.is_held]
+    def quarantined(self) -> list[QuarantinedRequest]:
+        """Return the requests that are held, or are on probation."""
+        return [entry for entry in self._entries.values() if entry.was_quarantined]
 
     def forget_old(self) -> None:
         """Drop suspects that were not seen for long, and holds that were over for long."""
         now = self._clock()
         for entry in list(self._entries.values()):
-            last = max(entry.seen_at, entry.held_until)
-            kept = MOST_HOLD_SECONDS if entry.is_held else SUSPECT_SECONDS
+            last = max(entry.seen_at, entry.quarantined_until)
+            kept = MAX_QUARANTINE_SECONDS if entry.was_quarantined else SUSPICION_SECONDS
             if now - last > kept:
                 del self._entries[entry.identity]
         if not self._entries:
@@ -191,7 +191,7 @@
 
     # What happens at this sidecar's worker.
 
-    def worker_ended(self, service: str, end: bytes, runs: dict[Identity, int]) -> None:
+    def worker_crashed(self, service: str, end: bytes, runs: dict[Identity, int]) -> None:
         """Take that the worker has ended.
 
         :param end: names the end.
@@ -199,43 +199,45 @@
             later says nothing, as several workers may end at one moment.
         """
         # One that was cleared meanwhile begins anew.
-        levels = {identity: min(level, self.level(identity)) for identity, level in runs.items()}
+        levels = {
+            identity: min(level, self.suspicion_level(identity)) for identity, level in runs.items()
+        }
         top = max(levels.values(), default=0)
         for identity in runs:
             self.suspect(service, identity)
         if top > 0:
-            self._count_end([identity for identity, level in levels.items() if level == top], end)
+            self._count_crash([identity for identity, level in levels.items() if level == top], end)
         self._drop_surplus()
         self._tell(list(runs))
 
-    def _count_end(self, blamed: list[Identity], end: bytes) -> None:
+    def _count_crash(self, blamed: list[Identity], end: bytes) -> None:
         for identity in blamed:
             entry = self._entries[identity]
             entry.ends |= {end}
             if len(blamed) == 1:
-                until = self._clock() + hold_seconds(len(entry.ends))
-                entry.held_until = max(entry.held_until, until)
+                until = self._clock() + quarantine_seconds(len(entry.ends))
+                entry.quarantined_until = max(entry.quarantined_until, until)
 
     def suspect(self, service: str, identity: Identity) -> None:
         """Take that a request ran at a worker as it ended."""
         entry = self._entries.get(identity)
         if entry is None:
-            self._entries[identity] = Held(identity, service, self._clock())
+            self._entries[identity] = QuarantinedRequest(identity, service, self._clock())
             self.filled.set()
             self._drop_surplus()
         else:
             entry.seen_at = self._clock()
             self._entries.move_to_end(identity)
 
-    def repeated(self, service: str, identity: Identity) -> None:
+    def retried(self, service: str, identity: Identity) -> None:
         """Take that a sender repeats a request whose worker ended; news of that may follow."""
         cleared = self._cleared.get(identity)
         if cleared is None or self._clock() - cleared.at > CLEARED_SECONDS:
             self.suspect(service, identity)
 
-    def trial_begins(self, identity: Identity) -> None:
+    def probation_run_begins(self, identity: Identity) -> None:
         """Take that a held request is run once more here, and have the others wait."""
-        self._entries[identity].held_until = self._clock() + TRIAL_SECONDS
+        self._entries[identity].quarantined_until = self._clock() + PROBATION_RUN_SECONDS
         self._tell([identity])
 
     def answered(self, identity: Identity) -> None:
@@ -254,13 +256,13 @@
         self._on_news([_wire(entry, 0.0, cleared=True)])
         return True
 
-    def hold(self, service: str, identity: Identity, seconds: float) -> None:
+    def quarantine(self, service: str, identity: Identity, seconds: float) -> None:
         """Hold a request, here and everywhere."""
         self.suspect(service, identity)
         entry = self._entries[identity]
         # Named like an end of a worker, so that it counts after an earlier clearing too.
         entry.ends |= {crash_id(f"operator at {self._clock()}")}
-        entry.held_until = max(entry.held_until, self._clock() + seconds)
+        entry.quarantined_until = max(entry.quarantined_until, self._clock() + seconds)
         self._drop_surplus()
         self._tell([identity])
 
@@ -277,7 +279,7 @@
     def _take(self, told: QuarantineEntry) -> bool:
         if told.cleared:
             return self._take_cleared(told)
-        ends = _ends_of(told.ends)
+        ends = _crashes_of(told.ends)
         if self._is_outdated(told):
             return False
         is_new = told.identity not in self._entries
@@ -289,7 +291,7 @@
         entry.ends |= ends
         seconds = told.held_ms / 1000
         if seen_apart:
-            seconds = max(seconds, hold_seconds(len(entry.ends)))
+            seconds = max(seconds, quarantine_seconds(len(entry.ends)))
         is_longer = seconds > 0 and self._extend(entry, seconds)
         self._drop_surplus()
         return is_new or bool(added) or is_longer
@@ -297,7 +299,7 @@
     def _is_outdated(self, told: QuarantineEntry) -> bool:
         """Return whether a hold was cleared after all that an entry tells of it."""
         cleared = self._cleared.get(told.identity)
-        return told.held_ms > 0 and cleared is not None and _ends_of(told.ends) <= cleared.ends
+        return told.held_ms > 0 and cleared is not None and _crashes_of(told.ends) <= cleared.ends
 
     def corrections(self, told: Iterable[QuarantineEntry]) -> list[QuarantineEntry]:
         """Return what a sidecar should know that still holds what was cleared."""
@@ -310,7 +312,7 @@
         ]
 
     def _take_cleared(self, told: QuarantineEntry) -> bool:
-        ends = _ends_of(told.ends)
+        ends = _crashes_of(told.ends)
         self._remember_cleared(told.identity, ends)
         known = self._entries.get(told.identity)
         if known is None or not known.ends <= ends:
@@ -318,18 +320,18 @@
         del self._entries[told.identity]
         return True
 
-    def _extend(self, entry: Held, seconds: float) -> bool:
+    def _extend(self, entry: QuarantinedRequest, seconds: float) -> bool:
         """Hold a request for some seconds from now; return whether that is longer."""
         until = self._clock() + seconds
-        if until <= entry.held_until + HELD_AGREES_SECONDS:
+        if until <= entry.quarantined_until + SAME_QUARANTINE_SECONDS:
             return False
-        entry.held_until = until
+        entry.quarantined_until = until
         return True
 
     def entries(self) -> list[QuarantineEntry]:
         """Return what another sidecar should know of held requests."""
         now = self._clock()
-        return [_wire(entry, entry.held_until - now) for entry in self.held()]
+        return [_wire(entry, entry.quarantined_until - now) for entry in self.quarantined()]
 
     def digest(self) -> int:
         """Return a number that is the same where the same requests are held.
@@ -337,7 +339,7 @@
         It tells nothing of when holds end, as clocks and delays differ.
         """
         value = 0
-        for entry in self.held():
+        for entry in self.quarantined():
             value ^= int.from_bytes(entry.identity[:8]) + len(entry.ends)
         return value % 2**64
 
@@ -347,43 +349,43 @@
         now = self._clock()
         known = [self._entries[identity] for identity in identities if identity in self._entries]
         if known:
-            self._on_news([_wire(entry, entry.held_until - now) for entry in known])
+            self._on_news([_wire(entry, entry.quarantined_until - now) for entry in known])
 
     def _remember_cleared(self, identity: Identity, ends: frozenset[bytes]) -> None:
         former = self._cleared.pop(identity, None)
         ends = ends if former is None else ends | former.ends
         self._cleared[identity] = _Cleared(ends, self._clock())
-        while len(self._cleared) > MOST_CLEARED:
+        while len(self._cleared) > MAX_CLEARED:
             self._cleared.popitem(last=False)
 
     def _drop_surplus(self) -> None:
         """Keep the table within its bounds."""
-        held = self.held()
-        if len(held) > MOST_HELD:
-            del self._entries[min(held, key=lambda entry: entry.held_until).identity]
-        while len(self._entries) > MOST_HELD + MOST_SUSPECTS:
-            oldest = next(entry for entry in self._entries.values() if not entry.is_held)
+        held = self.quarantined()
+        if len(held) > MAX_QUARANTINED:
+            del self._entries[min(held, key=lambda entry: entry.quarantined_until).identity]
+        while len(self._entries) > MAX_QUARANTINED + MAX_SUSPECTED:
+            oldest = next(entry for entry in self._entries.values() if not entry.was_quarantined)
             del self._entries[oldest.identity]
 
 
 def crash_id(instance: str) -> bytes:
     """Return what names the end of a worker's start in records."""
-    return bytes(sha256(instance.encode()).digest()[:END_ID_BYTES])
+    return bytes(sha256(instance.encode()).digest()[:CRASH_ID_BYTES])
 
 
-def _ends_of(data: bytes) -> frozenset[bytes]:
+def _crashes_of(data: bytes) -> frozenset[bytes]:
     """Return the names that a field of a record holds one after the other.
 
-    >>> sorted(_ends_of(b"11111111" + b"22222222"))
+    >>> sorted(_crashes_of(b"11111111" + b"22222222"))
     [b'11111111', b'22222222']
     """
-    starts = range(0, len(data), END_ID_BYTES)
-    return frozenset(data[start : start + END_ID_BYTES] for start in starts)
+    starts = range(0, len(data), CRASH_ID_BYTES)
+    return frozenset(data[start : start + CRASH_ID_BYTES] for start in starts)
 
 
-def _wire(entry: Held, seconds: float, cleared: bool = False) -> QuarantineEntry:
+def _wire(entry: QuarantinedRequest, seconds: float, cleared: bool = False) -> QuarantineEntry:
     """Return an entry as a record, with the seconds that it is still held."""
-    held_ms = max(1, int(seconds * 1000)) if entry.is_held else 0
+    held_ms = max(1, int(seconds * 1000)) if entry.was_quarantined else 0
     return QuarantineEntry(
         held_ms, cleared, entry.service, b"".join(sorted(entry.ends)), entry.identity
     )
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -21,7 +21,7 @@
 from cranklane.runtime.interface import Runtime
 from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.admission.gate import Gate, tells_its_time
-from cranklane.sidecar.quarantine.table import Quarantine, Standing
+from cranklane.sidecar.quarantine.table import Quarantine, QuarantineState
 from cranklane.sidecar.request.attempt import Attempt, BodyReader, Reply, refusal
 from cranklane.sidecar.request.call_tree import Root
 from cranklane.sidecar.request.identity import Identity, identity_of
@@ -192,7 +192,7 @@
         if self._quarantine.is_empty:
             return None
         identity = call.identity()
-        if self._quarantine.standing(identity) is not Standing.HELD:
+        if self._quarantine.state(identity) is not QuarantineState.QUARANTINED:
             return None
         left = self._quarantine.seconds_left(identity)
         self._on_quarantined(call, identity, left)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -87,7 +87,7 @@
 
 def held(machine):
     """Return whether a sidecar holds a request."""
-    return bool(machine.sidecar.quarantine.table.held())
+    return bool(machine.sidecar.quarantine.table.quarantined())
 
 
 def until_held(mesh, machines, since, seconds=2.0):
--- a/tests/test_crashing_requests_seeds.py
+++ b/tests/test_crashing_requests_seeds.py
@@ -90,7 +90,7 @@
         held = {
             entry.identity
             for machine in mesh.machines
-            for entry in machine.sidecar.quarantine.table.held()
+            for entry in machine.sidecar.quarantine.table.quarantined()
         }
         return ends, late, len(held), served
 
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -6,14 +6,14 @@
 
 from cranklane.records.messages import QuarantineEntry
 from cranklane.sidecar.quarantine.table import (
-    FIRST_HOLD_SECONDS,
-    LONG_HOLD_SECONDS,
-    MOST_HELD,
-    MOST_SUSPECTS,
-    SUSPECT_SECONDS,
-    TRIAL_SECONDS,
+    FIRST_QUARANTINE_SECONDS,
+    MAX_QUARANTINED,
+    MAX_SUSPECTED,
+    PROBATION_RUN_SECONDS,
+    SECOND_QUARANTINE_SECONDS,
+    SUSPICION_SECONDS,
     Quarantine,
-    Standing,
+    QuarantineState,
     crash_id,
 )
 from cranklane.sidecar.request.identity import identity_of
@@ -38,7 +38,7 @@
         self.table = Quarantine(clock, self.news.extend)
 
     def end(self, name, *runs):
-        self.table.worker_ended("s", crash_id(name), dict(runs))
+        self.table.worker_crashed("s", crash_id(name), dict(runs))
 
 
 @pytest.fixture
@@ -53,61 +53,61 @@
 
 def test_the_first_end_holds_nobody(sidecar):
     sidecar.end("one", (GUILTY, 0), (BESIDE, 0))
-    assert sidecar.table.standing(GUILTY) is Standing.SUSPECT
-    assert sidecar.table.standing(BESIDE) is Standing.SUSPECT
-    assert sidecar.table.held() == []
+    assert sidecar.table.state(GUILTY) is QuarantineState.SUSPECTED
+    assert sidecar.table.state(BESIDE) is QuarantineState.SUSPECTED
+    assert sidecar.table.quarantined() == []
 
 
 def test_the_end_of_a_second_worker_speaks_only_against_the_suspect(sidecar):
     sidecar.end("one", (GUILTY, 0))
     sidecar.end("two", (GUILTY, 1), (BESIDE, 0))
-    assert sidecar.table.standing(GUILTY) is Standing.HELD
-    assert sidecar.table.standing(BESIDE) is Standing.SUSPECT
-    assert sidecar.table.level(BESIDE) == 1
+    assert sidecar.table.state(GUILTY) is QuarantineState.QUARANTINED
+    assert sidecar.table.state(BESIDE) is QuarantineState.SUSPECTED
+    assert sidecar.table.suspicion_level(BESIDE) == 1
 
 
 def test_ends_at_one_moment_hold_nobody(sidecar):
     for name in ("one", "two", "three", "four"):
         sidecar.end(name, (GUILTY, 0))
-    assert sidecar.table.standing(GUILTY) is Standing.SUSPECT
+    assert sidecar.table.state(GUILTY) is QuarantineState.SUSPECTED
 
 
 def test_of_several_suspects_at_one_end_none_is_held_and_the_next_end_tells(sidecar):
     sidecar.end("one", (GUILTY, 0), (BESIDE, 0))
     sidecar.end("two", (GUILTY, 1), (BESIDE, 1))
-    assert sidecar.table.held() == []
+    assert sidecar.table.quarantined() == []
     sidecar.end("three", (GUILTY, 2), (BESIDE, 1))
-    assert [entry.identity for entry in sidecar.table.held()] == [GUILTY]
-    assert sidecar.table.seconds_left(GUILTY) == LONG_HOLD_SECONDS
+    assert [entry.identity for entry in sidecar.table.quarantined()] == [GUILTY]
+    assert sidecar.table.seconds_left(GUILTY) == SECOND_QUARANTINE_SECONDS
 
 
 def test_the_first_hold_is_short_and_the_second_long(sidecar, clock):
     sidecar.end("one", (GUILTY, 0))
     sidecar.end("two", (GUILTY, 1))
-    assert sidecar.table.seconds_left(GUILTY) == FIRST_HOLD_SECONDS
-    clock.now += FIRST_HOLD_SECONDS
-    assert sidecar.table.standing(GUILTY) is Standing.ON_TRIAL
-    sidecar.table.trial_begins(GUILTY)
-    assert sidecar.table.seconds_left(GUILTY) == TRIAL_SECONDS
+    assert sidecar.table.seconds_left(GUILTY) == FIRST_QUARANTINE_SECONDS
+    clock.now += FIRST_QUARANTINE_SECONDS
+    assert sidecar.table.state(GUILTY) is QuarantineState.ON_PROBATION
+    sidecar.table.probation_run_begins(GUILTY)
+    assert sidecar.table.seconds_left(GUILTY) == PROBATION_RUN_SECONDS
     sidecar.end("three", (GUILTY, 2))
-    assert sidecar.table.seconds_left(GUILTY) == LONG_HOLD_SECONDS
+    assert sidecar.table.seconds_left(GUILTY) == SECOND_QUARANTINE_SECONDS
 
 
-def test_an_answer_clears_a_suspect_and_one_on_trial(sidecar, clock):
+def test_an_answer_clears_a_suspect_and_one_on_probation(sidecar, clock):
     sidecar.end("one", (GUILTY, 0), (BESIDE, 0))
     sidecar.table.answered(BESIDE)
-    assert sidecar.table.standing(BESIDE) is Standing.CLEAR
+    assert sidecar.table.state(BESIDE) is QuarantineState.CLEAR
     sidecar.end("two", (GUILTY, 1))
-    clock.now += FIRST_HOLD_SECONDS
-    sidecar.table.trial_begins(GUILTY)
+    clock.now += FIRST_QUARANTINE_SECONDS
+    sidecar.table.probation_run_begins(GUILTY)
     sidecar.table.answered(GUILTY)
     assert sidecar.table.is_empty
 
 
 def test_a_suspect_that_is_not_seen_again_is_forgotten(sidecar, clock):
     sidecar.end("one", (GUILTY, 0))
-    clock.now += SUSPECT_SECONDS + 1
-    assert sidecar.table.standing(GUILTY) is Standing.CLEAR
+    clock.now += SUSPICION_SECONDS + 1
+    assert sidecar.table.state(GUILTY) is QuarantineState.CLEAR
     assert sidecar.table.is_empty
 
 
@@ -116,7 +116,7 @@
     sidecar.end("one", (GUILTY, 0))
     sidecar.end("two", (GUILTY, 1))
     assert other.table.take(sidecar.news)
-    assert other.table.standing(GUILTY) is Standing.HELD
+    assert other.table.state(GUILTY) is QuarantineState.QUARANTINED
     assert other.table.digest() == sidecar.table.digest()
     assert other.table.take(sidecar.table.entries()) == []
     assert other.news == []
@@ -128,7 +128,7 @@
         sidecar.end("one", (GUILTY, 0))
         sidecar.end(name, (GUILTY, 1))
     first.table.take(second.news)
-    assert first.table.seconds_left(GUILTY) == LONG_HOLD_SECONDS
+    assert first.table.seconds_left(GUILTY) == SECOND_QUARANTINE_SECONDS
 
 
 def test_news_that_is_older_than_a_clearing_holds_nobody(sidecar, clock):
@@ -161,9 +161,9 @@
     other = Sidecar(clock)
     for _ in range(2):
         clock.now += 1
-        sidecar.table.hold("s", GUILTY, 60.0)
+        sidecar.table.quarantine("s", GUILTY, 60.0)
         other.table.take(sidecar.news)
-        assert other.table.standing(GUILTY) is Standing.HELD
+        assert other.table.state(GUILTY) is QuarantineState.QUARANTINED
         sidecar.table.lift(GUILTY)
         other.table.take(sidecar.news)
         assert other.table.is_empty
@@ -177,8 +177,8 @@
         left = sidecar.table.seconds_left(GUILTY)
         sidecar.table.learn("s", GUILTY, left)
         clock.now += 0.4
-    clock.now += FIRST_HOLD_SECONDS - 4.0
-    assert sidecar.table.standing(GUILTY) is Standing.ON_TRIAL
+    clock.now += FIRST_QUARANTINE_SECONDS - 4.0
+    assert sidecar.table.state(GUILTY) is QuarantineState.ON_PROBATION
 
 
 def test_a_flood_of_different_requests_stays_within_the_bounds(sidecar):
@@ -187,28 +187,28 @@
         sidecar.end(f"a{number}", (identity, 0))
         sidecar.end(f"b{number}", (identity, 1))
         sidecar.table.suspect("s", (number + 10**6).to_bytes(16))
-    assert len(sidecar.table.held()) == MOST_HELD
-    assert len(sidecar.table._entries) <= MOST_HELD + MOST_SUSPECTS
+    assert len(sidecar.table.quarantined()) == MAX_QUARANTINED
+    assert len(sidecar.table._entries) <= MAX_QUARANTINED + MAX_SUSPECTED
 
 
 def test_a_request_that_was_cleared_meanwhile_begins_anew(sidecar, clock):
     sidecar.end("one", (GUILTY, 0))
     sidecar.table.answered(GUILTY)
-    sidecar.table.repeated("s", GUILTY)
-    assert sidecar.table.standing(GUILTY) is Standing.CLEAR
+    sidecar.table.retried("s", GUILTY)
+    assert sidecar.table.state(GUILTY) is QuarantineState.CLEAR
     sidecar.end("two", (GUILTY, 1))
-    assert sidecar.table.standing(GUILTY) is Standing.SUSPECT
+    assert sidecar.table.state(GUILTY) is QuarantineState.SUSPECTED
     sidecar.table.answered(GUILTY)
     clock.now += 2.0
-    sidecar.table.repeated("s", GUILTY)
-    assert sidecar.table.standing(GUILTY) is Standing.SUSPECT
+    sidecar.table.retried("s", GUILTY)
+    assert sidecar.table.state(GUILTY) is QuarantineState.SUSPECTED
 
 
 def test_operators_hold_and_lift(sidecar):
-    sidecar.table.hold("s", GUILTY, 60.0)
-    assert sidecar.table.standing(GUILTY) is Standing.HELD
+    sidecar.table.quarantine("s", GUILTY, 60.0)
+    assert sidecar.table.state(GUILTY) is QuarantineState.QUARANTINED
     assert sidecar.table.lift(GUILTY)
-    assert sidecar.table.standing(GUILTY) is Standing.CLEAR
+    assert sidecar.table.state(GUILTY) is QuarantineState.CLEAR
     assert not sidecar.table.lift(GUILTY)
 
 
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -6,11 +6,11 @@
 import pytest
 
 from cranklane.records.messages import Member, MemberDelta
-from cranklane.sidecar.admission import gate, lone_runs
-from cranklane.sidecar.admission.lone_runs import SuspectAdmission
+from cranklane.sidecar.admission import gate, isolated_runs
+from cranklane.sidecar.admission.isolated_runs import SuspectAdmission
 from cranklane.sidecar.quarantine import table as quarantine
+from cranklane.sidecar.quarantine.gossip import QuarantineGossip
 from cranklane.sidecar.quarantine.sidecar_directory import KEPT_SECONDS, SidecarDirectory
-from cranklane.sidecar.quarantine.spread import QuarantineSpread
 from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane_lab.simulation.crashes import CrashingRequests
 from mesh_support import play
@@ -28,14 +28,14 @@
 
 
 def test_without_news_of_others_it_ends_more(monkeypatch):
-    monkeypatch.setattr(QuarantineSpread, "_send", lambda *_: None)
-    monkeypatch.setattr(QuarantineSpread, "_learn", lambda _self: True)
+    monkeypatch.setattr(QuarantineGossip, "_send", lambda *_: None)
+    monkeypatch.setattr(QuarantineGossip, "_learn", lambda _self: True)
     assert play(ends_of_one, **FLEET) > 3
 
 
 def test_without_holds_it_ends_more(monkeypatch):
-    monkeypatch.setattr(quarantine, "hold_seconds", lambda _ends: 0.0)
-    monkeypatch.setattr(quarantine, "TRIAL_SECONDS", 0.0)
+    monkeypatch.setattr(quarantine, "quarantine_seconds", lambda _ends: 0.0)
+    monkeypatch.setattr(quarantine, "PROBATION_RUN_SECONDS", 0.0)
     assert play(ends_of_one, **FLEET) > 3
 
 
@@ -50,19 +50,19 @@
 MANY = {"services": ("s",) * 12 + ("t",) * 2, "slots": 16}
 
 
-def test_with_lone_runs_each_of_several_ends_three_at_most():
+def test_with_isolated_runs_each_of_several_ends_three_at_most():
     assert play(ends_beside_others, **MANY) <= 3
 
 
-def test_without_lone_runs_they_hide_each_other(monkeypatch):
+def test_without_isolated_runs_they_hide_each_other(monkeypatch):
     def admit(self, request, _on_wait):
         if self._quarantine.is_empty:
             return SuspectAdmission()
-        identity = lone_runs.identity_of_request(request)
-        level = self._quarantine.level(identity)
-        return self._without_place(identity) or SuspectAdmission(level=level)
+        identity = isolated_runs.identity_of_request(request)
+        level = self._quarantine.suspicion_level(identity)
+        return self._without_slot(identity) or SuspectAdmission(level=level)
 
-    monkeypatch.setattr(lone_runs.LoneRuns, "admit", admit)
+    monkeypatch.setattr(isolated_runs.IsolatedRuns, "admit", admit)
     assert play(ends_beside_others, **MANY) > 3
 
 
@@ -91,16 +91,16 @@
 
 
 def test_by_its_most_suspected_copy_it_would_be_held(monkeypatch):
-    judge = Quarantine.worker_ended
+    judge = Quarantine.worker_crashed
 
-    def worker_ended(self, service, end, runs):
+    def worker_crashed(self, service, end, runs):
         for identity in [identity for identity, level in runs.items() if level]:
             self.suspect(service, identity)
         judge(self, service, end, runs)
 
     monkeypatch.setattr(gate, "_level_of", lambda run: -run.level)
-    monkeypatch.setattr(Quarantine, "repeated", Quarantine.suspect)
-    monkeypatch.setattr(Quarantine, "worker_ended", worker_ended)
+    monkeypatch.setattr(Quarantine, "retried", Quarantine.suspect)
+    monkeypatch.setattr(Quarantine, "worker_crashed", worker_crashed)
     assert play(popular_held, **FLEET)
 
 
--- a/tests/test_quarantine_operators.py
+++ b/tests/test_quarantine_operators.py
@@ -10,7 +10,7 @@
 from cranklane.common.secret_digest import secret_digest
 from cranklane.common.small_http import SmallAnswer
 from cranklane.sidecar.quarantine.api import QuarantineApi
-from cranklane.sidecar.quarantine.table import Quarantine, Standing
+from cranklane.sidecar.quarantine.table import Quarantine, QuarantineState
 from cranklane_lab.simulation.crashes import CrashingRequests
 from cranklane_lab.standins.raw_http import exchange
 from mesh_support import play
@@ -40,7 +40,7 @@
 def test_a_hold_is_added_listed_and_lifted(table):
     added = ask(table, "hold", token=TOKEN, identity=IDENTITY, service="s", seconds=60)
     assert added.status == 200
-    assert table.standing(bytes.fromhex(IDENTITY)) is Standing.HELD
+    assert table.state(bytes.fromhex(IDENTITY)) is QuarantineState.QUARANTINED
     api = QuarantineApi(table, lambda: "", Log(), lambda *_: SmallAnswer(404))
     held = json.loads(api.handle("GET", "/v1/quarantine", b"").body)["held"]
     assert held == [{"identity": IDENTITY, "service": "s", "seconds_left": 60.0, "ends": 1}]
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -72,7 +72,7 @@
 
 def test_what_cannot_start_in_time_is_refused_at_once():
     def script(slots):
-        slots.hold = 0.5
+        slots.slot_seconds = 0.5
         order = order_of(slots, [("a", 0, 1.0), ("b", 0, 0.2)])
         return order, slots.running, slots.queued
 
@@ -131,7 +131,7 @@
 def test_a_wait_that_times_out_counts_once():
     def script(slots):
         slots.acquire(0, 1.0, lambda _waiter: None)
-        slots.hold = 0.01
+        slots.slot_seconds = 0.01
         reason = slots.acquire(0, 0.05, lambda _waiter: None)
         slots.release(0.1)
         return reason, slots.queued, slots.running
@@ -165,7 +165,7 @@
         gevent.sleep(0)
         tasks += [gevent.spawn(ask, slots, order, f"patient {n}", 0, 0.5, 0.02) for n in range(2)]
         gevent.sleep(LONG_WAITED)
-        slots.hold = 0.02
+        slots.slot_seconds = 0.02
         tasks.append(gevent.spawn(ask, slots, order, "hurried", 0, 0.15, 0.02))
         gevent.joinall(tasks)
         return order
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -44,7 +44,7 @@
             gevent.spawn(mesh.request, mesh.machines[0], "/read/x")
         gevent.sleep(0.2)
         for machine in mesh.machines[:2]:
-            machine.sidecar.slots.hold = 3.0
+            machine.sidecar.slots.slot_seconds = 3.0
         assert mesh.request(mesh.machines[2], "/read/x", name="refused-one").status == 503
 
     told = explained(script, tmp_path, "refused-one")
