--- a/src/cranklane/policy/compiler.py
+++ b/src/cranklane/policy/compiler.py
@@ -16,11 +16,16 @@
 from cranklane.records.messages import RouteRow, ServiceRow, TenantRow
 
 MAX_RETRIES = 16
-"""Most retries a root request may be allowed."""
+"""Maximum retries of a root request. A choice: an allowance beyond it bounds nothing."""
 
 MAX_DEADLINE_MS = 3_600_000
+"""Maximum deadline of a route: an hour. A choice: a longer one is taken for a mistake."""
+
 MAX_SHARE = 1_000_000
+"""Maximum share of a tenant. A choice: a greater number is taken for a mistake."""
+
 MAX_SLOTS = 100_000
+"""Maximum slots of a worker, and calls in its queue. A choice, as above."""
 
 DEFAULTS: dict[str, Any] = {
     "criticality": Criticality.NORMAL,
@@ -189,12 +194,11 @@
 
 def _range_problems(branch: Branch) -> list[str]:
     problems = []
-    for name, (least, most, word) in _RANGES.items():
+    for name, (minimum, maximum, word) in _RANGES.items():
         stated = getattr(branch, name, None)
-        if stated is not None and not least <= stated.value <= most:
-            problems.append(
-                _at(stated.position, f"{word}: found {stated.value}; expected {least} to {most}")
-            )
+        if stated is not None and not minimum <= stated.value <= maximum:
+            text = f"{word}: found {stated.value}; expected {minimum} to {maximum}"
+            problems.append(_at(stated.position, text))
     return problems
 
 
--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -13,6 +13,8 @@
 from cranklane.records.messages import MESSAGES, Hello, Message
 
 PROTOCOL_VERSION = 1
+"""Version of the records; processes of different versions refuse each other."""
+
 CONNECTION_CALL = 0
 """Call number of records that belong to no call."""
 
@@ -21,7 +23,11 @@
 
 _FRAME_HEAD = Struct("!IHHQ")
 _FRAME_MARK = 0xC1A7
+"""Constant in each head, by which a reader notices that it has lost the frames' borders."""
+
 _RECEIVE_SIZE = 64 * 1024
+"""Bytes asked of the socket at once. A choice: a small body and its head come in two reads."""
+
 _Expected = TypeVar("_Expected")
 
 
--- a/src/cranklane/routes/document.py
+++ b/src/cranklane/routes/document.py
@@ -48,11 +48,18 @@
 """An objective must be less than this much above its route's time limit."""
 
 PACKING_LEVEL = 1
-"""The fastest: most of what there is to gain, at a third of the usual time."""
+"""zlib's fastest level: most of the gain in size, at a third of the default level's time."""
 
 MAX_NUMBER = 2**63 - 1
-UNREPEATABLE = "unsafe"
-REPEATABLE = ("safe", "download")
+"""Greatest whole number in a document: a signed integer of 64 bits."""
+
+MAX_ATTEMPTS = 1000
+"""Greatest ``max_attempts`` of a route. A choice: far beyond what any route needs, so that a
+mistyped number is found."""
+
+NOT_IDEMPOTENT = "unsafe"
+IDEMPOTENT = ("safe", "download")
+"""Words of ``repeat`` in a document."""
 
 
 class ProblemError(Exception):
@@ -68,11 +75,12 @@
         self._where = where
         self._value = value
 
-    def number(self, name: str, least: int, most: int, default: int | None = None) -> int:
+    def number(self, name: str, minimum: int, maximum: int, default: int | None = None) -> int:
         value = self._value.get(name, default)
-        if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
+        if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
             raise ProblemError(
-                f"{self._where}.{name}: found {value!r}; expected a number of {least} to {most}"
+                f"{self._where}.{name}: found {value!r}; "
+                f"expected a number of {minimum} to {maximum}"
             )
         return value
 
@@ -102,7 +110,7 @@
 
 
 def pack_document(data: bytes) -> bytes:
-    """Return a document as it is stored and sent: some tenth of its size."""
+    """Return a document compressed, as it is stored and sent: about a tenth of its size."""
     return zlib.compress(data, PACKING_LEVEL)
 
 
@@ -181,22 +189,22 @@
     where = f"routes.{name}"
     fields = _Fields(where, value)
     repeat = fields.text("repeat")
-    if repeat != UNREPEATABLE and repeat not in REPEATABLE:
+    if repeat != NOT_IDEMPOTENT and repeat not in IDEMPOTENT:
         raise ProblemError(f"{where}.repeat: found {repeat!r}; expected safe, unsafe or download")
     prefix = fields.text("prefix")
     if not (prefix.startswith("/") and prefix.endswith("/")):
         raise ProblemError(f"{where}.prefix: found {prefix!r}; must begin and end with a slash")
     timeout = fields.number("timeout_ms", 1, MAX_TIMEOUT_MS)
-    most = timeout + MAX_OBJECTIVE_OVER_TIMEOUT_MS - 1
+    max_objective = timeout + MAX_OBJECTIVE_OVER_TIMEOUT_MS - 1
     return Route(
         name=name,
         host=fields.text("host").lower(),
         prefix=prefix,
-        repeatable=repeat in REPEATABLE,
+        repeatable=repeat in IDEMPOTENT,
         timeout_ms=timeout,
-        objective_ms=fields.number("objective_ms", 1, most, timeout),
+        objective_ms=fields.number("objective_ms", 1, max_objective, timeout),
         priority=fields.number("priority", 0, MAX_PRIORITY, 0),
-        max_attempts=fields.number("max_attempts", 1, 1000),
+        max_attempts=fields.number("max_attempts", 1, MAX_ATTEMPTS),
         shares=_shares(where, fields),
         public=fields.flag("public"),
     )
--- a/src/cranklane/routes/rows.py
+++ b/src/cranklane/routes/rows.py
@@ -7,14 +7,14 @@
 from __future__ import annotations
 
 import json
-from collections.abc import Iterable
+from collections.abc import Callable, Iterable
 from typing import Any
 
 from result import Err, Ok, Result
 
 from cranklane.records.messages import ConfigRow
 from cranklane.routes.document import ProblemError, limits_of, route_of, service_of, tenant_of
-from cranklane.routes.table import Limits, RouteTable
+from cranklane.routes.table import RouteTable
 from cranklane.routes.tenants import TenantDirectory
 
 VERSION_ROW = "version"
@@ -27,6 +27,13 @@
 
 _SEPARATOR = "/"
 
+_READERS: dict[str, Callable[[str, Any], Any]] = {
+    ROUTE_KIND: route_of,
+    SERVICE_KIND: service_of,
+    TENANT_KIND: tenant_of,
+}
+"""How an entry of each kind is read from its value."""
+
 
 def rows_of(document: dict[str, Any]) -> dict[str, bytes]:
     """Return the rows of a checked document by key.
@@ -51,39 +58,54 @@
 
 def with_rows(table: RouteTable, rows: Iterable[ConfigRow]) -> Result[RouteTable, str]:
     """Return a table with rows changed; a row without a value removes its entry."""
-    routes = {route.name: route for route in table.routes}
-    services = dict(table.services)
-    tenants = dict(table.tenants.by_name) if table.tenants is not None else {}
-    keyed = table.tenants is not None
-    version = table.version
-    limits: Limits = table.limits
+    draft = _Draft(table)
     try:
         for row in rows:
-            kind, _, name = row.key.partition(_SEPARATOR)
-            value: Any = json.loads(row.value) if row.value else None
-            match kind:
-                case "routes" if row.value:
-                    routes[name] = route_of(name, value)
-                case "routes":
-                    routes.pop(name, None)
-                case "services" if row.value:
-                    services[name] = service_of(name, value)
-                case "services":
-                    services.pop(name, None)
-                case "tenants" if row.value:
-                    tenants[name] = tenant_of(name, value)
-                case "tenants":
-                    tenants.pop(name, None)
-                case "keyed":
-                    keyed = bool(row.value)
-                case "limits":
-                    limits = limits_of(value)
-                case "version":
-                    version = value
+            draft.take(row)
     except (ProblemError, ValueError) as error:
         return Err(str(error))
-    directory = TenantDirectory(tenants.values()) if keyed else None
-    return Ok(RouteTable(version, tuple(routes.values()), services, limits, directory))
+    return Ok(draft.finished())
+
+
+class _Draft:
+    """A route table while rows of it are changed."""
+
+    def __init__(self, table: RouteTable) -> None:
+        tenants = table.tenants
+        self._keyed = tenants is not None
+        self._version = table.version
+        self._limits = table.limits
+        self._entries: dict[str, dict[str, Any]] = {
+            ROUTE_KIND: {route.name: route for route in table.routes},
+            SERVICE_KIND: dict(table.services),
+            TENANT_KIND: dict(tenants.by_name) if tenants is not None else {},
+        }
+
+    def take(self, row: ConfigRow) -> None:
+        """Apply one row.
+
+        :raises ProblemError: when its value is no valid entry.
+        :raises ValueError: when its value is no JSON.
+        """
+        kind, _, name = row.key.partition(_SEPARATOR)
+        value: Any = json.loads(row.value) if row.value else None
+        if kind in _READERS and row.value:
+            self._entries[kind][name] = _READERS[kind](name, value)
+        elif kind in _READERS:
+            self._entries[kind].pop(name, None)
+        elif kind == KEYED_ROW:
+            self._keyed = bool(row.value)
+        elif kind == LIMITS_ROW:
+            self._limits = limits_of(value)
+        elif kind == VERSION_ROW:
+            self._version = value
+
+    def finished(self) -> RouteTable:
+        """Return the table after the changes."""
+        routes = tuple(self._entries[ROUTE_KIND].values())
+        services = self._entries[SERVICE_KIND]
+        tenants = TenantDirectory(self._entries[TENANT_KIND].values()) if self._keyed else None
+        return RouteTable(self._version, routes, services, self._limits, tenants)
 
 
 def _text(value: Any) -> bytes:
--- a/src/cranklane/routes/table.py
+++ b/src/cranklane/routes/table.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """One destination of a route and its part of the route's requests."""
+    """One destination of a route, and its weight among the route's destinations."""
 
     service: str
     weight: int
@@ -24,10 +24,10 @@
 
     :ivar prefix: path prefix; begins and ends with a slash.
     :ivar repeatable: whether a request may run more than once.
-    :ivar timeout_ms: the longest a request is held.
-    :ivar objective_ms: an answer within this time is worth most.
+    :ivar timeout_ms: time after which a request gets its final answer.
+    :ivar objective_ms: the latency objective of its requests.
     :ivar priority: 0 is the most important.
-    :ivar max_attempts: most workers that one request may reach.
+    :ivar max_attempts: maximum number of workers that one request may reach.
     :ivar public: whether its requests need no API key where others do.
     """
 
--- a/src/cranklane/routes/tenants.py
+++ b/src/cranklane/routes/tenants.py
@@ -12,7 +12,7 @@
 class Tenant:
     """One tenant.
 
-    :ivar priority: 0 is the most important; goes before the priority of a route.
+    :ivar priority: 0 is the most important; compared before the priority of a route.
     :ivar rate_per_second: requests it may have run in a second, over the whole fleet;
         0 for no limit.
     :ivar burst: requests that it may have run at once beyond that rate.
--- a/src/cranklane/runtime/interface.py
+++ b/src/cranklane/runtime/interface.py
@@ -14,7 +14,7 @@
 
 
 class Connection(Protocol):
-    """A stream connection; the part of a socket that the product uses."""
+    """A stream connection: the methods of a socket that the product uses."""
 
     def recv(self, size: int, /) -> bytes:
         """Return the next bytes, at most ``size``; nothing at the end."""
@@ -87,8 +87,8 @@
     def monotonic(self) -> float:
         """Return seconds on a clock that never steps back.
 
-        It counts the time that the machine was suspended, unlike the timers of tasks: a wait
-        may end later than that by this clock, and what it waited for is to be looked at anew.
+        It counts the time for which the machine was suspended; the timers of tasks don't. So a
+        wait may end late by this clock, and its condition must be checked again.
         """
 
     @abstractmethod
@@ -125,7 +125,7 @@
 
     @abstractmethod
     def end_when_unheard(self, connection: Any) -> None:
-        """Break a connection whose far end confirms nothing that was sent for a while.
+        """Break a connection whose far end acknowledges nothing that was sent for a while.
 
         Without it, a connection to a machine that has lost power, or is cut off,
         would seem to work until the kernel gives up after many minutes.
--- a/src/cranklane/runtime/real.py
+++ b/src/cranklane/runtime/real.py
@@ -23,8 +23,15 @@
 from cranklane.runtime.stream import StreamListener, connect, without_delay
 
 _LISTEN_BACKLOG = 1024
-_UNHEARD_MS = 1500
-_HANG_UP = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+"""Connections that wait to be accepted. A choice: after a restart of the fleet all peers of a
+process connect within a second."""
+
+_UNACKNOWLEDGED_MS = 1500
+"""Milliseconds for which sent bytes may stay unacknowledged before the kernel breaks the
+connection. A choice: several retransmissions on a link that loses packets, and a machine
+without power is noticed within the time for which a follower waits for its controller."""
+
+_DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class RealListener:
@@ -137,8 +144,8 @@
     def monotonic(self) -> float:
         """Return seconds on a clock that never steps back and counts a suspension.
 
-        The kernel's usual steady clock stands still meanwhile: a lease that others took for
-        lapsed would hold on here.
+        CLOCK_MONOTONIC stands still during a suspension: a lease that others consider expired
+        would still hold here.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -169,7 +176,7 @@
             descriptor = connection.fileno()
             if descriptor >= 0:
                 by_descriptor[descriptor] = connection
-                poll.register(descriptor, _HANG_UP)
+                poll.register(descriptor, _DISCONNECTED)
         return [by_descriptor[ready] for ready, _ in poll.poll(0)]
 
     def has_input(self, connection: Any) -> bool:
@@ -179,12 +186,12 @@
             # Closed here, by another task.
             return True
         poll = select.poll()
-        poll.register(descriptor, select.POLLIN | _HANG_UP)
+        poll.register(descriptor, select.POLLIN | _DISCONNECTED)
         return bool(poll.poll(0))
 
     def end_when_unheard(self, connection: Any) -> None:
-        """Break a connection whose far end confirms nothing that was sent for a while."""
-        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNHEARD_MS)
+        """Break a connection whose far end acknowledges nothing that was sent for a while."""
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
 
     def storage(self, folder: str) -> Storage:
         """Return the files of a data folder, creating it."""
--- a/src/cranklane/runtime/stream.py
+++ b/src/cranklane/runtime/stream.py
@@ -1,10 +1,9 @@
-"""TCP sockets that ask the kernel less often than the library's do.
+"""TCP sockets that need fewer system calls than gevent's.
 
-Each system call of a process that serves many small requests shows in its
-processor time. The library's ``recv`` tries before it waits, which fails whenever
-an answer is still being made; its ``sendall`` reads the buffer's size each time,
-and measures its time-out on the clock of the day, which may step. Its waits make an
-exception object for each time-out that does not come.
+System calls are a large part of the processor time of a process that serves many small
+requests. gevent's ``recv`` reads before it waits, which fails whenever the answer is not there
+yet; its ``sendall`` asks for the buffer's size each time and measures its time-out on the wall
+clock, which may step; its waits create an exception object for each time-out.
 """
 
 from __future__ import annotations
@@ -22,8 +21,8 @@
 class Stream(socket.socket):
     """A TCP connection.
 
-    :ivar waits_first: whether nothing is expected to be there when ``recv`` is
-        called: true for one that was dialled, and after the first bytes.
+    :ivar waits_first: whether ``recv`` waits before it reads: true for a connection opened
+        here, and after the first bytes.
     """
 
     waits_first = False
