--- a/src/cranklane/cli/daemon.py
+++ b/src/cranklane/cli/daemon.py
@@ -53,7 +53,8 @@
 
         return Controller, ControllerSettings
     if command == "sidecar":
-        from cranklane.sidecar.process import Sidecar, SidecarSettings
+        from cranklane.sidecar.process import Sidecar
+        from cranklane.sidecar.settings import SidecarSettings
 
         return Sidecar, SidecarSettings
     if command == "ledger":
--- /dev/null
+++ b/src/cranklane/sidecar/own_member.py
@@ -0,0 +1,91 @@
+"""What a sidecar states about itself: to its own routing, to other sidecars and to control.
+
+Owns the sidecar's incarnation and whether it is stopping. Relies on the worker registry and
+on the worker's condition, which it only reads.
+"""
+
+from __future__ import annotations
+
+from cranklane.distribution.member_state import MemberState
+from cranklane.records.messages import Heartbeat, Hello, Member, Subscribe
+from cranklane.sidecar.settings import SidecarSettings
+from cranklane.sidecar.worker.condition import WorkerCondition
+from cranklane.sidecar.worker.registry import WorkerRegistry
+
+
+class OwnMember:
+    """This sidecar as a member of the fleet.
+
+    :param incarnation: distinguishes this process from earlier ones of its name.
+    :ivar stopping: whether a planned stop has begun.
+    """
+
+    def __init__(
+        self,
+        settings: SidecarSettings,
+        incarnation: int,
+        worker: WorkerRegistry,
+        condition: WorkerCondition,
+    ) -> None:
+        self._name = settings.name
+        self._zone = settings.zone
+        self._service = settings.service
+        self._address = settings.advertise or settings.listen
+        self._worker = worker
+        self._condition = condition
+        self._sequence = 0
+        self.incarnation = incarnation
+        self.stopping = False
+
+    @property
+    def state(self) -> MemberState:
+        """Whether other sidecars may send requests here."""
+        if self.stopping:
+            return MemberState.DRAINING
+        return self._worker.member_state
+
+    def hello(self, version: int) -> Hello:
+        """Return the greeting for other sidecars.
+
+        :param version: revision of the route table in force.
+        """
+        return Hello(incarnation=self.incarnation, version=version, node=self._name)
+
+    def subscription(self) -> Subscribe:
+        """Return the request to follow control."""
+        return Subscribe(
+            incarnation=self.incarnation,
+            everything=True,
+            node=self._name,
+            service=self._service,
+            zone=self._zone,
+            address=self._address,
+        )
+
+    def heartbeat(self) -> Heartbeat:
+        """Return what control is to know now."""
+        worker = self._worker
+        reported = self._condition.reported
+        return Heartbeat(
+            state=self.state,
+            slots=worker.slots,
+            service=worker.service,
+            instance=worker.instance,
+            faults=reported.wire_faults,
+            slowness=reported.wire_slowness,
+        )
+
+    def next_member(self) -> Member:
+        """Return this sidecar's entry for its own routing, newer than all before."""
+        self._sequence += 1
+        return Member(
+            incarnation=self.incarnation,
+            sequence=self._sequence,
+            state=self.state,
+            slots=self._worker.slots,
+            node=self._name,
+            service=self._worker.service,
+            zone=self._zone,
+            address=self._address,
+            instance=self._worker.instance,
+        )
--- a/src/cranklane/sidecar/table/table_lease.py
+++ b/src/cranklane/sidecar/table/table_lease.py
@@ -10,6 +10,9 @@
 
 import math
 from collections.abc import Callable
+from typing import Any
+
+from cranklane.sidecar.table.adopted_table import AdoptedTable
 
 CLOCK_MARGIN = 0.05
 """Part of the time after which a revocation must hold that is kept in reserve: two steady
@@ -56,3 +59,23 @@
     def holds(self) -> bool:
         """Whether requests with a key may be served."""
         return self._seconds <= 0 or self.age <= self._seconds
+
+
+class TableLeaseLog:
+    """Logs when requests with a key begin or cease to be served."""
+
+    def __init__(self, lease: TableLease, table: AdoptedTable, log: Any) -> None:
+        self._lease = lease
+        self._table = table
+        self._log = log
+        self._held = True
+
+    def check(self) -> None:
+        """Log a change since the last check; nothing where no request needs a key."""
+        holds = self._lease.holds
+        table = self._table.table
+        if holds == self._held or table.tenants is None:
+            return
+        self._held = holds
+        event = "table_lease_regained" if holds else "table_lease_lost"
+        self._log.warning(event, table=table.version, age=round(self._lease.age, 2))
--- /dev/null
+++ b/src/cranklane/sidecar/telemetry/gauges.py
@@ -0,0 +1,65 @@
+"""The gauges of a sidecar: figures that are read from its parts when somebody asks."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from cranklane.sidecar.admission.slots import Slots
+from cranklane.sidecar.quarantine.table import Quarantine
+from cranklane.sidecar.table.adopted_table import AdoptedTable
+from cranklane.sidecar.table.table_lease import TableLease
+from cranklane.sidecar.telemetry.metrics import SidecarMetrics
+from cranklane.sidecar.worker.condition import WorkerCondition
+
+
+@dataclass(frozen=True, slots=True)
+class GaugeSources:
+    """The parts that gauges are read from.
+
+    :ivar is_ready: returns whether callers may send requests.
+    :ivar is_connected: returns whether a controller answers.
+    """
+
+    table: AdoptedTable
+    lease: TableLease
+    slots: Slots
+    condition: WorkerCondition
+    quarantine: Quarantine
+    is_ready: Callable[[], bool]
+    is_connected: Callable[[], bool]
+
+
+def add_gauges(metrics: SidecarMetrics, sources: GaugeSources) -> None:
+    """Add every gauge of a sidecar to its metrics."""
+    add = metrics.gauge
+    table = sources.table
+    slots = sources.slots
+    condition = sources.condition
+    quarantine = sources.quarantine
+    add("cranklane_table_version", "Operator's version in force.", lambda: table.table.version)
+    add("cranklane_running", "Requests at the worker now.", lambda: slots.running)
+    add("cranklane_queued", "Requests that wait for a slot now.", lambda: slots.queued)
+    add("cranklane_slots", "Slots of the worker.", lambda: slots.limit)
+    add(
+        "cranklane_worker_faults",
+        "Part of runs failed by the worker.",
+        lambda: condition.now().faults,
+    )
+    add(
+        "cranklane_worker_slowness",
+        "Run times against typical ones.",
+        lambda: condition.now().slowness,
+    )
+    add(
+        "cranklane_table_age",
+        "Seconds since the table was newest.",
+        lambda: sources.lease.age,
+    )
+    add(
+        "cranklane_held_requests",
+        "Requests held, or to be tried again.",
+        lambda: len(quarantine.quarantined()),
+    )
+    add("cranklane_ready", "Whether callers may send requests.", sources.is_ready)
+    add("cranklane_control_connected", "Whether a controller answers.", sources.is_connected)
--- a/src/cranklane_lab/simulation/mesh.py
+++ b/src/cranklane_lab/simulation/mesh.py
@@ -11,7 +11,8 @@
 
 from cranklane.controller.process import Controller, ControllerSettings
 from cranklane.runtime.interface import Address, format_address
-from cranklane.sidecar.process import Sidecar, SidecarSettings
+from cranklane.sidecar.process import Sidecar
+from cranklane.sidecar.settings import SidecarSettings
 from cranklane_lab.simulation.process import SimulatedProcess
 from cranklane_lab.simulation.world import World
 from cranklane_lab.standins.raw_http import RawAnswer, exchange
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -118,7 +118,7 @@
     ),
     "waiting for requests in flight at a stop": (
         Sidecar,
-        "_busy",
+        "_is_busy",
         lambda self: False,
         test_mesh.test_a_planned_stop_cuts_nothing_and_is_out_of_use_at_once,
     ),
--- a/tests/test_mesh_workers.py
+++ b/tests/test_mesh_workers.py
@@ -181,7 +181,7 @@
         known._remove(mesh.machines[2].name)
         asked = gevent.spawn(mesh.request, machine, "/other/x")
         gevent.sleep(0.1)
-        mesh.machines[2].sidecar.subscription._records.close()
+        mesh.machines[2].sidecar.control.subscription._records.close()
         begun = mesh.world.loop.now()
         status = asked.get().status
         return status, mesh.world.loop.now() - begun < 0.2
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -9,7 +9,7 @@
 
 from cranklane.controller.process import ControllerSettings
 from cranklane.settings import load
-from cranklane.sidecar.process import SidecarSettings
+from cranklane.sidecar.settings import SidecarSettings
 
 ROOT = Path(__file__).resolve().parent.parent
 PLATFORM_NAMES = re.compile(
--- a/tests/test_route_rows.py
+++ b/tests/test_route_rows.py
@@ -89,13 +89,13 @@
         first = route_table(1, 0, routes, SERVICES)
         assert mesh.wait_for(lambda: mesh.operate(first).status == 200, 5)
         gevent.sleep(2.0)
-        before = machine.sidecar.subscription.bytes_received
+        before = machine.sidecar.control.subscription.bytes_received
         routes["r7"]["timeout_ms"] = 77
         assert mesh.operate(route_table(2, 1, routes, SERVICES)).status == 200
         gevent.sleep(0.3)
         table = machine.sidecar.adopted.table
         assert (table.version, table.find("shop.example", "/7/x").timeout_ms) == (2, 77)
-        return machine.sidecar.subscription.bytes_received - before
+        return machine.sidecar.control.subscription.bytes_received - before
 
     return simulate(1, lambda _source, _target: 0.0005, scenario)
 
