--- a/src/cranklane/control/editor.py
+++ b/src/cranklane/control/editor.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from http import HTTPStatus
 
 from gevent.lock import Semaphore
 from result import Err, Ok, Result
@@ -13,9 +14,10 @@
 from cranklane.replication.replica import ProposalFailure, Replica
 from cranklane.runtime.interface import Runtime
 
-_INVALID = 422
-_UNAVAILABLE = 503
-_MAX_COMPILATIONS = 5
+MAX_COMPILATIONS = 5
+"""Compilations of one edit, as other edits commit meanwhile, before the operator is asked to
+try again. A choice: edits of one process are serialized, so only a change of leader brings
+another one in between."""
 
 
 @dataclass(frozen=True)
@@ -42,7 +44,7 @@
     :ivar leader: where operators reach the leader, when this is another process.
     """
 
-    status: int
+    status: HTTPStatus
     problems: list[str] = field(default_factory=list)
     not_run: bool = True
     leader: str = ""
@@ -61,7 +63,7 @@
     def submit(self, edit: Edit) -> Result[EditAnswer, EditProblem]:
         """Commit an edit; a resend gets the first answer."""
         with self._editing:
-            for _ in range(_MAX_COMPILATIONS):
+            for _ in range(MAX_COMPILATIONS):
                 if not self._replica.may_read:
                     return Err(self.not_leading())
                 known = self._store.answered(edit.operator, edit.request)
@@ -69,7 +71,9 @@
                     return Ok(known)
                 compiled = self._compiler.compile(edit.document, edit.text)
                 if isinstance(compiled, Err):
-                    return Err(EditProblem(_INVALID, compiled.err_value.problems))
+                    return Err(
+                        EditProblem(HTTPStatus.UNPROCESSABLE_ENTITY, compiled.err_value.problems)
+                    )
                 command = self._command(edit, compiled.ok_value)
                 proposed = self._replica.propose(command.pack())
                 if isinstance(proposed, Err):
@@ -77,21 +81,25 @@
                 answer: EditAnswer = proposed.ok_value
                 if answer.result is not EditResult.STALE:
                     return Ok(answer)
-        return Err(EditProblem(_UNAVAILABLE, ["other edits came in between; try again"]))
+        return Err(
+            EditProblem(HTTPStatus.SERVICE_UNAVAILABLE, ["other edits came in between; try again"])
+        )
 
     def not_leading(self) -> EditProblem:
         """Return the answer of a process that does not lead for certain."""
         leader = self._replica.leader_member()
         if leader is None or leader.identity == self._replica.identity:
-            return EditProblem(_UNAVAILABLE, ["no control process leads now; try again"])
+            return EditProblem(
+                HTTPStatus.SERVICE_UNAVAILABLE, ["no control process leads now; try again"]
+            )
         problem = f"this control process does not lead; {leader.name} at {leader.http} does"
-        return EditProblem(_UNAVAILABLE, [problem], leader=leader.http)
+        return EditProblem(HTTPStatus.SERVICE_UNAVAILABLE, [problem], leader=leader.http)
 
     def _not_committed(self, failure: ProposalFailure) -> EditProblem:
         if failure is ProposalFailure.NOT_LEADER:
             return self.not_leading()
         return EditProblem(
-            _UNAVAILABLE,
+            HTTPStatus.SERVICE_UNAVAILABLE,
             ["whether the edit was accepted is not known; send it again with its request id"],
             not_run=False,
         )
--- a/src/cranklane/control/operator_api.py
+++ b/src/cranklane/control/operator_api.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import base64
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from http import HTTPStatus
+from typing import Any
 
 import falcon
 import gevent
@@ -12,13 +14,11 @@
 
 from cranklane.common.secret_digest import secret_digest
 from cranklane.control import backup
-from cranklane.control.editor import Edit, EditProblem
-from cranklane.control.status import ALL_TENANTS, group_of, status_of
-from cranklane.control.store import ROOT, EditResult
-from cranklane.replication.membership_change import ChangeFailure
-
-if TYPE_CHECKING:
-    from cranklane.control.process import ControlProcess
+from cranklane.control.editor import Edit, Editor, EditProblem
+from cranklane.control.status import ALL_TENANTS, ControlStatus
+from cranklane.control.store import ROOT, ConfigurationStore, EditResult
+from cranklane.replication.membership_change import ChangeFailure, MembershipChange
+from cranklane.replication.replica import Replica
 
 MAX_WAIT_SECONDS = 60.0
 MAX_DOCUMENT_BYTES = 1024 * 1024
@@ -41,10 +41,27 @@
 
 
 class OperatorApi:
-    """The WSGI application."""
+    """The WSGI application.
+
+    :param operators: lines ``name:scope:sha256`` of operators' tokens.
+    """
 
-    def __init__(self, process: ControlProcess, operators: list[str]) -> None:
-        self._process = process
+    def __init__(
+        self,
+        status: ControlStatus,
+        store: ConfigurationStore,
+        replica: Replica,
+        editor: Editor,
+        changes: MembershipChange,
+        clock: Callable[[], float],
+        operators: list[str],
+    ) -> None:
+        self._status = status
+        self._store = store
+        self._replica = replica
+        self._editor = editor
+        self._changes = changes
+        self._clock = clock
         self._operators = _read_operators(operators)
         self.application = falcon.App()
         self.application.req_options.auto_parse_form_urlencoded = False
@@ -82,7 +99,7 @@
         response.media = {
             "documents": [
                 {"name": document.name, "version": document.version}
-                for document in self._process.store.documents()
+                for document in self._store.documents()
                 if operator.may_use(document.name)
             ]
         }
@@ -94,7 +111,7 @@
         self._within_scope(request, name)
         if not self._may_read(response):
             return
-        document = self._process.store.document(name)
+        document = self._store.document(name)
         if document is None:
             raise falcon.HTTPNotFound(description=f"no document {name}")
         response.media = {"name": name, "version": document.version, "text": document.text}
@@ -105,7 +122,7 @@
         """Edit one document; answers 409 with the newer text on a conflict."""
         operator = self._within_scope(request, name)
         edit = _read_edit(request, name, operator.name)
-        result = self._process.editor.submit(edit)
+        result = self._editor.submit(edit)
         if isinstance(result, Err):
             _write_problem(response, result.err_value)
             return
@@ -116,8 +133,8 @@
             "repeated": answer.repeated,
         }
         if answer.result is EditResult.CONFLICT:
-            document = self._process.store.document(name)
-            response.status = falcon.HTTP_409
+            document = self._store.document(name)
+            response.status = HTTPStatus.CONFLICT
             response.media["text"] = document.text if document is not None else ""
 
     def on_get_history(self, request: falcon.Request, response: falcon.Response, name: str) -> None:
@@ -134,7 +151,7 @@
                     "operator": entry.operator,
                     "text": entry.text,
                 }
-                for entry in self._process.store.history(name)
+                for entry in self._store.history(name)
             ]
         }
 
@@ -145,22 +162,22 @@
         seconds = request.get_param_as_float(
             "seconds", default=10.0, min_value=0.0, max_value=MAX_WAIT_SECONDS
         )
-        until = self._process.runtime.monotonic() + seconds
-        behind = self._process.behind(version)
-        while behind and self._process.runtime.monotonic() < until:
+        until = self._clock() + seconds
+        behind = self._status.nodes_behind(version)
+        while behind and self._clock() < until:
             gevent.sleep(0.05)
-            behind = self._process.behind(version)
+            behind = self._status.nodes_behind(version)
         response.media = {"version": version, "in_force": not behind, "behind": behind}
 
     def on_get_status(self, request: falcon.Request, response: falcon.Response) -> None:
         """Return the state of control and the members it knows."""
         operator = self._operator(request)
-        response.media = status_of(self._process, operator.scope)
+        response.media = self._status.within(operator.scope)
 
     def on_get_replicas(self, request: falcon.Request, response: falcon.Response) -> None:
         """Return the replicas of the control group as this process knows them."""
         self._for_all(request)
-        response.media = group_of(self._process)
+        response.media = self._status.group()
 
     def on_delete_replica(
         self, request: falcon.Request, response: falcon.Response, name: str
@@ -168,7 +185,7 @@
         """Remove a replica from the group, unless that puts its quorum at risk."""
         self._for_all(request)
         if self._may_read(response):
-            self._write_change(response, self._process.changes.remove(name))
+            self._write_change(response, self._changes.remove(name))
 
     def on_put_replica(self, request: falcon.Request, response: falcon.Response, name: str) -> None:
         """State whether a learner is to vote once it has caught up."""
@@ -178,13 +195,13 @@
         if not isinstance(voter, bool):
             raise falcon.HTTPBadRequest(description="voter: expected true or false")
         if self._may_read(response):
-            self._write_change(response, self._process.changes.promote(name, voter))
+            self._write_change(response, self._changes.promote(name, voter))
 
     def on_get_snapshot(self, request: falcon.Request, response: falcon.Response) -> None:
         """Return a back-up of all that is accepted, in base 64."""
         self._for_all(request)
         if self._may_read(response):
-            data = backup.take(self._process.replica)
+            data = backup.take(self._replica)
             response.media = {"snapshot": base64.b64encode(data).decode()}
 
     @staticmethod
@@ -193,7 +210,7 @@
             response.media = {"result": "accepted"}
             return
         status, problem = _CHANGE_PROBLEMS[result.err_value]
-        response.status = falcon.code_to_http_status(status)
+        response.status = status
         response.media = {"problems": [problem]}
 
     def _for_all(self, request: falcon.Request) -> None:
@@ -202,26 +219,32 @@
 
     def _may_read(self, response: falcon.Response) -> bool:
         """Answer that another process leads, unless this one does for certain."""
-        if self._process.replica.may_read:
+        if self._replica.may_read:
             return True
-        _write_problem(response, self._process.editor.not_leading())
+        _write_problem(response, self._editor.not_leading())
         return False
 
 
 _CHANGE_PROBLEMS = {
-    ChangeFailure.NOT_LEADER: (503, "this control process does not lead"),
-    ChangeFailure.BUSY: (409, "another change of replicas is under way; try again"),
-    ChangeFailure.UNKNOWN_NAME: (404, "no replica of this name"),
+    ChangeFailure.NOT_LEADER: (
+        HTTPStatus.SERVICE_UNAVAILABLE,
+        "this control process does not lead",
+    ),
+    ChangeFailure.BUSY: (HTTPStatus.CONFLICT, "another change of replicas is under way; try again"),
+    ChangeFailure.UNKNOWN_NAME: (HTTPStatus.NOT_FOUND, "no replica of this name"),
     ChangeFailure.QUORUM_AT_RISK: (
-        409,
+        HTTPStatus.CONFLICT,
         "too few of the voters that would be left answer now; add one first",
     ),
-    ChangeFailure.NOT_KNOWN: (503, "whether the change was made is not known; look again"),
+    ChangeFailure.NOT_KNOWN: (
+        HTTPStatus.SERVICE_UNAVAILABLE,
+        "whether the change was made is not known; look again",
+    ),
 }
 
 
 def _write_problem(response: falcon.Response, problem: EditProblem) -> None:
-    response.status = falcon.code_to_http_status(problem.status)
+    response.status = problem.status
     response.media = {
         "problems": problem.problems,
         "not_run": problem.not_run,
--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -9,6 +9,7 @@
 from cranklane.common.logs import logger
 from cranklane.control.editor import Editor
 from cranklane.control.operator_api import OperatorApi
+from cranklane.control.status import ControlStatus
 from cranklane.control.store import ConfigurationStore
 from cranklane.distribution.node_service import NodeService, NodeServiceTiming
 from cranklane.distribution.publisher import SILENT_SECONDS
@@ -99,7 +100,16 @@
         settings = self.settings
         self.replica.open()
         self._listener = self.runtime.listen(parse_address(settings.listen), self._port.accept)
-        api = OperatorApi(self, settings.operators)
+        status = ControlStatus(settings.name, self.store, self.replica, self._nodes)
+        api = OperatorApi(
+            status=status,
+            store=self.store,
+            replica=self.replica,
+            editor=self.editor,
+            changes=self.changes,
+            clock=self.runtime.monotonic,
+            operators=settings.operators,
+        )
         self.http = HttpServer(self.runtime, parse_address(settings.http), api.application)
         joining = Joining(self.replica, settings.replicas, settings.founder, settings.voter)
         self.runtime.spawn(joining.run)
@@ -120,13 +130,3 @@
     def in_touch(self) -> bool:
         """Whether this process has heard of its group's leader lately."""
         return self._nodes.in_touch
-
-    # What operators ask.
-
-    def behind(self, version: int) -> list[str]:
-        """Return the live nodes where a version is not in force yet."""
-        return sorted(
-            member.node
-            for member in self.membership.members()
-            if self.membership.version_of(member.node) < version
-        )
--- a/src/cranklane/control/status.py
+++ b/src/cranklane/control/status.py
@@ -1,77 +1,99 @@
-"""What operators may see of a control process, its group and its members."""
+"""What operators may see of a control process, its group and its members.
+
+Reads the store, the replica and the members that other modules own; owns nothing.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
+from cranklane.control.store import ConfigurationStore
 from cranklane.distribution.member_state import MemberState
+from cranklane.distribution.node_service import NodeService
 from cranklane.records.messages import Member, ReplicaMember
-
-if TYPE_CHECKING:
-    from cranklane.control.process import ControlProcess
+from cranklane.replication.replica import Replica
 
 ALL_TENANTS = "*"
+"""Scope of an operator who may see and change every tenant."""
 
 
-def status_of(process: ControlProcess, scope: str) -> dict[str, Any]:
-    """Return the status within a scope: a tenant's, or all.
+class ControlStatus:
+    """Status reports of one control process.
 
-    :param scope: a tenant's name or ``*``.
+    :param name: the process's name.
     """
-    replica = process.replica
-    leader = replica.leader_member()
-    return {
-        "name": process.settings.name,
-        "revision": process.store.revision,
-        "leader": leader.name if leader is not None else "",
-        "in_touch": process.in_touch,
-        "subscribers": len(process.publisher.subscribers),
-        "members": [
-            _member(process, member)
-            for member in process.membership.members()
-            if scope in (ALL_TENANTS, member.tenant)
-        ],
-    }
-
-
-def _member(process: ControlProcess, member: Member) -> dict[str, Any]:
-    return {
-        "node": member.node,
-        "service": f"{member.tenant}.{member.service}" if member.service else "",
-        "zone": member.zone,
-        "state": MemberState(member.state).name.lower(),
-        "version": process.membership.version_of(member.node),
-    }
-
-
-def group_of(process: ControlProcess) -> dict[str, Any]:
-    """Return the state of the process's replica and its group."""
-    replica = process.replica
-    return {
-        "name": process.settings.name,
-        "identity": f"{replica.identity:016x}",
-        "term": replica.term,
-        "last_index": replica.log.last_index,
-        "commit_index": replica.commit_index,
-        "applied_index": replica.applied_index,
-        "snapshot_index": replica.log.snapshot.index,
-        "log_bytes": replica.log.size,
-        "replicas": [_replica(process, member) for member in replica.members.current],
-    }
-
-
-def _replica(process: ControlProcess, member: ReplicaMember) -> dict[str, Any]:
-    replica = process.replica
-    leadership = replica.leadership
-    return {
-        "name": member.name,
-        "identity": f"{member.identity:016x}",
-        "role": _role(member),
-        "leads": member.identity == replica.leader,
-        "address": member.address,
-        "http": member.http,
-        "durable_index": leadership.matched.get(member.identity) if leadership else None,
-    }
+
+    def __init__(
+        self, name: str, store: ConfigurationStore, replica: Replica, nodes: NodeService
+    ) -> None:
+        self._name = name
+        self._store = store
+        self._replica = replica
+        self._nodes = nodes
+
+    def within(self, scope: str) -> dict[str, Any]:
+        """Return the status of the process and of the members within a scope.
+
+        :param scope: a tenant's name or ``*``.
+        """
+        leader = self._replica.leader_member()
+        return {
+            "name": self._name,
+            "revision": self._store.revision,
+            "leader": leader.name if leader is not None else "",
+            "in_touch": self._nodes.in_touch,
+            "subscribers": len(self._nodes.publisher.subscribers),
+            "members": [
+                self._member(member)
+                for member in self._nodes.membership.members()
+                if scope in (ALL_TENANTS, member.tenant)
+            ],
+        }
+
+    def _member(self, member: Member) -> dict[str, Any]:
+        return {
+            "node": member.node,
+            "service": f"{member.tenant}.{member.service}" if member.service else "",
+            "zone": member.zone,
+            "state": MemberState(member.state).name.lower(),
+            "version": self._nodes.membership.version_of(member.node),
+        }
+
+    def group(self) -> dict[str, Any]:
+        """Return the state of the process's replica and its group."""
+        replica = self._replica
+        return {
+            "name": self._name,
+            "identity": f"{replica.identity:016x}",
+            "term": replica.term,
+            "last_index": replica.log.last_index,
+            "commit_index": replica.commit_index,
+            "applied_index": replica.applied_index,
+            "snapshot_index": replica.log.snapshot.index,
+            "log_bytes": replica.log.size,
+            "replicas": [self._replica_member(member) for member in replica.members.current],
+        }
+
+    def _replica_member(self, member: ReplicaMember) -> dict[str, Any]:
+        leadership = self._replica.leadership
+        return {
+            "name": member.name,
+            "identity": f"{member.identity:016x}",
+            "role": _role(member),
+            "leads": member.identity == self._replica.leader,
+            "address": member.address,
+            "http": member.http,
+            "durable_index": leadership.matched.get(member.identity) if leadership else None,
+        }
+
+    def nodes_behind(self, version: int) -> list[str]:
+        """Return the names of live nodes where a version is not in force yet."""
+        membership = self._nodes.membership
+        return sorted(
+            member.node
+            for member in membership.members()
+            if membership.version_of(member.node) < version
+        )
 
 
 def _role(member: ReplicaMember) -> str:
--- a/src/cranklane/controller/fleet_quotas.py
+++ b/src/cranklane/controller/fleet_quotas.py
@@ -149,7 +149,7 @@
 
     # What sidecars and other processes tell.
 
-    def reported(self, usage: Iterable[TenantUsage]) -> None:
+    def take_usage(self, usage: Iterable[TenantUsage]) -> None:
         """Take a sidecar's report."""
         self._position += 1
         for item in usage:
@@ -159,7 +159,7 @@
             self._counts.move_to_end(item.tenant)
             self._use(item.tenant, item.offered, item.admitted, item.returned)
 
-    def told(self, totals: UsageTotals) -> None:
+    def take_totals(self, totals: UsageTotals) -> None:
         """Take another control process's sums."""
         owner = self._owners.get(totals.owner)
         known = owner is not None and owner.began_us == totals.began_us
--- a/src/cranklane/controller/route_api.py
+++ b/src/cranklane/controller/route_api.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+from http import HTTPStatus
 from typing import Any
 
 import falcon
@@ -15,10 +16,10 @@
 MAX_DOCUMENT_BYTES = 12 * 1024 * 1024
 
 _STATUS = {
-    RefusalKind.INVALID: falcon.HTTP_400,
-    RefusalKind.CONFLICT: falcon.HTTP_412,
-    RefusalKind.NOT_LEADING: falcon.HTTP_503,
-    RefusalKind.UNCERTAIN: falcon.HTTP_503,
+    RefusalKind.INVALID: HTTPStatus.BAD_REQUEST,
+    RefusalKind.CONFLICT: HTTPStatus.PRECONDITION_FAILED,
+    RefusalKind.NOT_LEADING: HTTPStatus.SERVICE_UNAVAILABLE,
+    RefusalKind.UNCERTAIN: HTTPStatus.SERVICE_UNAVAILABLE,
 }
 
 
@@ -48,10 +49,10 @@
             return
         document, version = self._store.document, self._store.version
         if not self._replica.may_read:
-            response.status = falcon.HTTP_503
+            response.status = HTTPStatus.SERVICE_UNAVAILABLE
             return
         if version == 0:
-            response.status = falcon.HTTP_404
+            response.status = HTTPStatus.NOT_FOUND
             return
         response.content_type = falcon.MEDIA_JSON
         response.data = document
@@ -63,7 +64,8 @@
             return
         data = request.bounded_stream.read(MAX_DOCUMENT_BYTES + 1)
         if len(data) > MAX_DOCUMENT_BYTES:
-            response.status = falcon.HTTP_413
+            # As a number: falcon's reason phrase differs from the one of HTTPStatus.
+            response.status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE.value
             return
         result = self._editor.replace(data)
         if isinstance(result, Ok):
@@ -97,7 +99,7 @@
         """Answer that the leader is to be asked, or that none is known."""
         leader = self._replica.leader_member()
         if leader is None or leader.identity == self._replica.identity:
-            response.status = falcon.HTTP_503
+            response.status = HTTPStatus.SERVICE_UNAVAILABLE
             return
-        response.status = falcon.HTTP_307
+        response.status = HTTPStatus.TEMPORARY_REDIRECT
         response.set_header("Location", f"http://{leader.http}{request.path}")
--- a/src/cranklane/controller/sidecar_service.py
+++ b/src/cranklane/controller/sidecar_service.py
@@ -1,7 +1,8 @@
-"""What a control process does for sidecars, besides sending configuration and members.
+"""What a controller does for sidecars, besides sending configuration and members.
 
-It answers heartbeats with how fresh its route table is, adds up the usage of tenants,
-and tells which part of a tenant's requests to admit.
+It answers heartbeats with the age of its route table, adds up the usage of tenants, and
+publishes which ratio of a tenant's requests sidecars admit. Its usage totals and ratios
+belong to :class:`FleetQuotas`; the age comes from :class:`Confirmation`.
 """
 
 from __future__ import annotations
@@ -24,11 +25,11 @@
 
 
 class SidecarService:
-    """Answers and shares of one control process.
+    """Heartbeat answers and admission ratios of one controller.
 
     :param revision: returns the revision of the route table here.
-    :param on_shares: called when parts have changed, so that subscribers are told.
-    :param on_usage: called when sums have changed, so that other processes are told.
+    :param on_shares: called when ratios have changed, so that subscribers are notified.
+    :param on_usage: called when totals have changed, so that other controllers are notified.
     """
 
     def __init__(
@@ -40,23 +41,33 @@
         on_usage: Callable[[], None],
     ) -> None:
         self._confirmation = confirmation
-        self.quotas = quotas
+        self._quotas = quotas
         self._revision = revision
         self._on_shares = on_shares
         self._on_usage = on_usage
 
+    @property
+    def usage_position(self) -> int:
+        """Position of the newest usage report."""
+        return self._quotas.position
+
+    @property
+    def shares_position(self) -> int:
+        """Position of the newest change of an admission ratio."""
+        return self._quotas.shares_position
+
     def run(self) -> None:
-        """Work out the parts again and again, for ever."""
-        told = 0
+        """Recompute the admission ratios periodically, for ever."""
+        reported = 0
         while True:
             gevent.sleep(STEP_SECONDS)
-            if self.quotas.position != told:
-                told = self.quotas.position
+            if self._quotas.position != reported:
+                reported = self._quotas.position
                 self._on_usage()
-            if self.quotas.step():
+            if self._quotas.step():
                 self._on_shares()
 
-    def heartbeat(self, records: RecordConnection, heartbeat: Heartbeat) -> None:
+    def answer_heartbeat(self, records: RecordConnection, heartbeat: Heartbeat) -> None:
         """Answer a heartbeat that asks for it.
 
         :raises ConnectionLostError: when the connection is gone.
@@ -64,25 +75,28 @@
         if heartbeat.asked_us == 0:
             return
         age = self._confirmation.age()
-        records.send(
-            HeartbeatAnswer(
-                heartbeat.asked_us,
-                age is not None,
-                int((age or 0.0) * MICROSECONDS) + 1,
-                self._revision(),
-            )
+        answer = HeartbeatAnswer(
+            heartbeat.asked_us,
+            age is not None,
+            int((age or 0.0) * MICROSECONDS) + 1,
+            self._revision(),
         )
+        records.send(answer)
+
+    def take_usage(self, report: UsageReport) -> None:
+        """Add a sidecar's usage report."""
+        self._quotas.take_usage(report.usage)
 
-    def reported(self, report: UsageReport) -> None:
-        """Take a sidecar's report of usage."""
-        self.quotas.reported(report.usage)
+    def take_totals(self, totals: UsageTotals) -> None:
+        """Add another controller's totals."""
+        self._quotas.take_totals(totals)
 
-    def told(self, totals: UsageTotals) -> None:
-        """Take another control process's sums."""
-        self.quotas.told(totals)
+    def totals_since(self, position: int) -> UsageTotals:
+        """Return the totals changed after a position, for other controllers."""
+        return self._quotas.totals_since(position)
 
-    def shares(self, position: int) -> TenantShares | None:
-        """Return what a subscriber that was told up to a position needs, None for nothing."""
-        if position == self.quotas.shares_position:
+    def shares_since(self, position: int) -> TenantShares | None:
+        """Return the ratios changed after a position, None when none has."""
+        if position == self._quotas.shares_position:
             return None
-        return TenantShares(position == 0, self.quotas.shares_since(position))
+        return TenantShares(position == 0, self._quotas.shares_since(position))
--- a/src/cranklane/distribution/exchange.py
+++ b/src/cranklane/distribution/exchange.py
@@ -4,20 +4,17 @@
 
 import math
 from collections.abc import Callable
-from typing import TYPE_CHECKING
 
 import gevent
 from gevent.event import Event
 
 from cranklane.distribution.membership import Membership
+from cranklane.distribution.sidecar_support import SidecarSupport
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import Hello, MemberReport, ReplicaMember, UsageTotals
 from cranklane.runtime.interface import Runtime, parse_address
 
-if TYPE_CHECKING:
-    from cranklane.controller.sidecar_service import SidecarService
-
 REPORT_SECONDS = 1.0
 """Seconds between reports when there is nothing to tell."""
 
@@ -49,7 +46,7 @@
         self._others = others
         self._hello = hello
         self._told: dict[str, Event] = {}
-        self.sidecars: SidecarService | None = None
+        self.sidecars: SidecarSupport | None = None
 
     def changed(self) -> None:
         """Take that members, versions or usage have changed."""
@@ -92,9 +89,8 @@
                     reported_at = now
                     records.queue(report)
                 if self.sidecars is not None:
-                    quotas = self.sidecars.quotas
-                    records.queue(quotas.totals_since(usage_position))
-                    usage_position = quotas.position
+                    records.queue(self.sidecars.totals_since(usage_position))
+                    usage_position = self.sidecars.usage_position
                 records.flush()
                 news.wait(REPORT_SECONDS)
                 gevent.sleep(MERGE_SECONDS)
@@ -120,6 +116,6 @@
             case MemberReport():
                 self._membership.reported(message)
             case UsageTotals() if self.sidecars is not None:
-                self.sidecars.told(message)
+                self.sidecars.take_totals(message)
             case _:
                 raise MalformedRecordError(f"{type(message).__name__} from a control process")
--- a/src/cranklane/distribution/node_service.py
+++ b/src/cranklane/distribution/node_service.py
@@ -9,21 +9,19 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import gevent
 
 from cranklane.distribution.exchange import Exchange
 from cranklane.distribution.membership import Membership
 from cranklane.distribution.publisher import PING_SECONDS, Publisher, RowSource
+from cranklane.distribution.sidecar_support import SidecarSupport
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import Hello, MemberReport, ReplicaMember, Subscribe
 from cranklane.replication.replica import Replica
 from cranklane.runtime.interface import Runtime
 
-if TYPE_CHECKING:
-    from cranklane.controller.sidecar_service import SidecarService
-
 
 @dataclass(frozen=True)
 class NodeServiceTiming:
@@ -73,7 +71,7 @@
         self.publisher = Publisher(runtime, source, self.membership, replicas, timing.ping)
         self._exchange = Exchange(runtime, self.membership, self._others, hello)
 
-    def serve_sidecars(self, sidecars: SidecarService) -> None:
+    def serve_sidecars(self, sidecars: SidecarSupport) -> None:
         """Serve also what only sidecars need."""
         self.publisher.sidecars = sidecars
         self._exchange.sidecars = sidecars
--- a/src/cranklane/distribution/publisher.py
+++ b/src/cranklane/distribution/publisher.py
@@ -7,12 +7,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 import gevent
 from gevent.event import Event
 
 from cranklane.distribution.membership import Membership
+from cranklane.distribution.sidecar_support import SidecarSupport
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.policy.names import SYSTEM_TENANT
 from cranklane.records.connection import CONNECTION_CALL, RecordConnection, encode_frame
@@ -31,9 +32,6 @@
 )
 from cranklane.runtime.interface import Runtime
 
-if TYPE_CHECKING:
-    from cranklane.controller.sidecar_service import SidecarService
-
 SILENT_SECONDS = 6.0
 """Seconds without a heartbeat after which a subscriber counts as lost."""
 
@@ -145,7 +143,7 @@
         self._changed = Event()
         self._frames = _Frames()
         self.subscribers: dict[str, Subscriber] = {}
-        self.sidecars: SidecarService | None = None
+        self.sidecars: SidecarSupport | None = None
         runtime.spawn(self._wake_subscribers)
 
     def changed(self) -> None:
@@ -189,9 +187,9 @@
             case Heartbeat():
                 self._membership.heard(subscriber.identity, message)
                 if self.sidecars is not None:
-                    self.sidecars.heartbeat(subscriber.records, message)
+                    self.sidecars.answer_heartbeat(subscriber.records, message)
             case UsageReport() if self.sidecars is not None:
-                self.sidecars.reported(message)
+                self.sidecars.take_usage(message)
             case _:
                 raise MalformedRecordError(f"{type(message).__name__} from a subscriber")
 
@@ -261,10 +259,10 @@
     def _send_shares(self, subscriber: Subscriber) -> bool:
         if self.sidecars is None:
             return False
-        shares = self.sidecars.shares(subscriber.sent_shares)
+        shares = self.sidecars.shares_since(subscriber.sent_shares)
         if shares is None:
             return False
-        subscriber.sent_shares = self.sidecars.quotas.shares_position
+        subscriber.sent_shares = self.sidecars.shares_position
         subscriber.records.send(shares)
         return True
 
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -384,7 +384,7 @@
                 if usage:
                     self.reports.append((self.now + self.delay / 2, usage))
         while self.reports and self.reports[0][0] <= self.now:
-            self.quotas.reported(self.reports.pop(0)[1])
+            self.quotas.take_usage(self.reports.pop(0)[1])
         position = self.quotas.shares_position
         if self.quotas.step():
             shares = self.quotas.shares_since(position)
@@ -445,7 +445,7 @@
     quotas = FleetQuotas("c", lambda: now[0], lambda: [Tenant("a", 0, 10, 10)], _whole_fleet)
     for _ in range(30):
         now[0] += 0.1
-        quotas.reported([TenantUsage(5, 5, 5, "a")])
+        quotas.take_usage([TenantUsage(5, 5, 5, "a")])
         quotas.step()
     assert quotas.shares_since(0) == []
 
@@ -455,14 +455,14 @@
     tenants = [Tenant("a", 0, 10, 10)]
     one = FleetQuotas("one", lambda: now[0], lambda: tenants, _whole_fleet)
     two = FleetQuotas("two", lambda: now[0], lambda: tenants, _whole_fleet)
-    two.reported([TenantUsage(1000, 1000, 0, "a")])
-    one.told(two.totals_since(0))
+    two.take_usage([TenantUsage(1000, 1000, 0, "a")])
+    one.take_totals(two.totals_since(0))
     now[0] += 5
     one.step()
     assert one.shares_since(0) == []
-    two.reported([TenantUsage(50, 50, 0, "a")])
+    two.take_usage([TenantUsage(50, 50, 0, "a")])
     for _ in range(2):
-        one.told(two.totals_since(0))
+        one.take_totals(two.totals_since(0))
     now[0] += 0.1
     one.step()
     assert 0 < one.shares_since(0)[0].permille < 1000
