--- a/src/cranklane/control/backup.py
+++ b/src/cranklane/control/backup.py
@@ -9,7 +9,8 @@
 from cranklane.errors import DamagedLogError, MalformedRecordError
 from cranklane.records.messages import EditCommand, LogSnapshot, StoreState
 from cranklane.replication.log import SNAPSHOT_FILE, Log
-from cranklane.replication.replica import EntryKind, Replica
+from cranklane.replication.replica import Replica
+from cranklane.replication.state import EntryKind
 from cranklane.replication.vote_file import VOTE_FILE, VoteFile
 from cranklane.runtime.interface import Storage
 
@@ -38,10 +39,7 @@
 
 def take(replica: Replica) -> bytes:
     """Return a back-up of all that is applied at a leader, with its checksum."""
-    index = replica.applied_index
-    term = replica.log.term_at(index) or replica.log.snapshot.term
-    snapshot = LogSnapshot(term, index, replica.members.at(index), replica.machine.pack())
-    return add_checksum(snapshot.pack())
+    return add_checksum(replica.snapshot().pack())
 
 
 def read(data: bytes) -> LogSnapshot:
--- a/src/cranklane/control/editor.py
+++ b/src/cranklane/control/editor.py
@@ -11,13 +11,13 @@
 from cranklane.control.compilation import DocumentCompiler
 from cranklane.control.store import ConfigurationStore, EditAnswer, EditResult
 from cranklane.records.messages import EditCommand
-from cranklane.replication.replica import ProposalFailure, Replica
+from cranklane.replication.proposals import ProposalFailure
+from cranklane.replication.replica import Replica
 from cranklane.runtime.interface import Runtime
 
 MAX_COMPILATIONS = 5
 """Compilations of one edit, as other edits commit meanwhile, before the operator is asked to
-try again. A choice: edits of one process are serialized, so only a change of leader brings
-another one in between."""
+try again. A choice, made to bound the loop."""
 
 
 @dataclass(frozen=True)
--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -18,7 +18,8 @@
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
 from cranklane.replication.port import ReplicaPort
-from cranklane.replication.replica import Replica, ReplicaIdentity
+from cranklane.replication.replica import Replica
+from cranklane.replication.state import ReplicaIdentity
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
     ADDRESS,
--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -21,8 +21,9 @@
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
 from cranklane.replication.port import ReplicaPort
-from cranklane.replication.replica import Replica, ReplicaIdentity
+from cranklane.replication.replica import Replica
 from cranklane.replication.self_assembly import SelfAssembly
+from cranklane.replication.state import ReplicaIdentity
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
     ADDRESS,
--- a/src/cranklane/ledger/service.py
+++ b/src/cranklane/ledger/service.py
@@ -18,7 +18,8 @@
     Message,
     Ping,
 )
-from cranklane.replication.replica import ProposalFailure, Replica
+from cranklane.replication.proposals import ProposalFailure
+from cranklane.replication.replica import Replica
 from cranklane.runtime.interface import Runtime
 
 COMMITTERS = 2
--- a/src/cranklane/replication/members.py
+++ b/src/cranklane/replication/members.py
@@ -5,6 +5,15 @@
 from cranklane.records.messages import ReplicaMember, ReplicaSet
 
 
+def quorum_of(voters: int) -> int:
+    """Return how many of so many voters decide: more than half.
+
+    >>> [quorum_of(voters) for voters in (1, 2, 3, 4, 5)]
+    [1, 2, 2, 3, 3]
+    """
+    return voters // 2 + 1
+
+
 class Members:
     """Sets of replicas by the index of the entry that states them.
 
@@ -32,7 +41,7 @@
 
     def quorum(self) -> int:
         """Return how many voters decide."""
-        return len(self.voters()) // 2 + 1
+        return quorum_of(len(self.voters()))
 
     def find(self, identity: int) -> ReplicaMember | None:
         """Return the replica of an identity, or None."""
--- a/src/cranklane/replication/membership_change.py
+++ b/src/cranklane/replication/membership_change.py
@@ -3,17 +3,15 @@
 from __future__ import annotations
 
 from enum import IntEnum
-from typing import TYPE_CHECKING
 
 import gevent
 from result import Err, Ok, Result
 
 from cranklane.records.messages import JoinReply, JoinRequest, ReplicaMember, ReplicaSet
-from cranklane.replication.replica import EntryKind
-
-if TYPE_CHECKING:
-    from cranklane.replication.leadership import Leadership
-    from cranklane.replication.replica import Replica
+from cranklane.replication.leadership import Leadership
+from cranklane.replication.members import quorum_of
+from cranklane.replication.replica import Replica
+from cranklane.replication.state import EntryKind
 
 PROMOTION_SECONDS = 0.3
 """Seconds between looks at learners that are to vote."""
@@ -178,7 +176,7 @@
     def _would_have_quorum(self, members: list[ReplicaMember]) -> bool:
         voters = [member for member in members if member.voter]
         there = sum(self._is_there(member) for member in voters)
-        return bool(voters) and there >= len(voters) // 2 + 1
+        return bool(voters) and there >= quorum_of(len(voters))
 
     def _state(self, members: list[ReplicaMember]) -> Result[None, ChangeFailure]:
         """Commit a set of members that differs from the present one by one replica."""
--- a/src/cranklane/replication/peer_service.py
+++ b/src/cranklane/replication/peer_service.py
@@ -80,7 +80,7 @@
         replica = self._replica
         with replica.changing:
             if replica.is_leader or (
-                replica.election.heard_lately() and not self._gave_up_its_lease(request)
+                replica.election.is_timer_fresh() and not self._gave_up_its_lease(request)
             ):
                 # A leader is there: whoever asks has lost touch with it, and its
                 # lease must hold.
@@ -94,7 +94,7 @@
             granted = request.term == replica.term and free and up_to_date
             if granted:
                 replica.votes.save(replica.term, request.candidate)
-                replica.election.heard()
+                replica.election.restart_timer()
             return VoteReply(replica.term, granted)
 
     def _gave_up_its_lease(self, request: VoteRequest) -> bool:
@@ -164,9 +164,5 @@
             return SnapshotReply(replica.term, received)
 
     def _install(self, snapshot: LogSnapshot) -> None:
-        replica = self._replica
-        if snapshot.index <= replica.commit_index:
-            return
-        replica.log.compact(snapshot)
-        replica.restore(snapshot)
-        replica.installed()
+        if snapshot.index > self._replica.commit_index:
+            self._replica.install(snapshot)
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -69,11 +69,11 @@
 
 
 def heard_any_leader(self):
-    self._leader_heard_at = self._replica.runtime.monotonic()
-    Election_heard(self)
+    self._leased_heartbeat_at = self._state.runtime.monotonic()
+    Election_restart_timer(self)
 
 
-Election_heard = Election.heard
+Election_restart_timer = Election.restart_timer
 
 MECHANISMS = {
     "request id of an answer": (
@@ -131,7 +131,7 @@
     ),
     "word of a certain leader": (
         Election,
-        "heard",
+        "restart_timer",
         heard_any_leader,
         lambda: (
             test_controllers.test_sidecars_leave_a_cut_off_leader_and_its_follower_and_keep_their_members(
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -10,7 +10,7 @@
 
 from cranklane.control.process import STALE_SECONDS
 from cranklane.distribution.publisher import Publisher
-from cranklane.replication import replica as replica_module
+from cranklane.replication import applier
 from cranklane.replication.membership_change import ChangeFailure
 from cranklane_lab.deployments import chain
 from cranklane_lab.scenarios.base import Run
@@ -103,7 +103,7 @@
 
 
 def test_a_replica_far_behind_gets_a_snapshot(monkeypatch):
-    monkeypatch.setattr(replica_module, "SNAPSHOT_BYTES", 4096)
+    monkeypatch.setattr(applier, "MIN_SNAPSHOT_BYTES", 4096)
 
     def script(run):
         behind = (leader_number(run) + 1) % 3
@@ -253,6 +253,6 @@
     def script(run):
         leader = replica(run, leader_number(run))
         term = leader.term
-        return leader.stand(), leader.term - term
+        return leader.begin_term(), leader.term - term
 
-    assert play(script) == (None, 0)
+    assert play(script) == (False, 0)
