--- a/src/cranklane/cli/daemon.py
+++ b/src/cranklane/cli/daemon.py
@@ -61,7 +61,8 @@
         from cranklane.ledger.process import LedgerProcess, LedgerSettings
 
         return LedgerProcess, LedgerSettings
-    from cranklane.node.process import NodeProcess, NodeSettings
+    from cranklane.node.process import NodeProcess
+    from cranklane.node.settings import NodeSettings
 
     return NodeProcess, NodeSettings
 
--- a/src/cranklane/node/admin.py
+++ b/src/cranklane/node/admin.py
@@ -1,20 +1,48 @@
-"""The node's own HTTP address for operators: metrics, status and drain."""
+"""The node's own HTTP address for operators: metrics, status and drain.
+
+Owns nothing; it reads what :class:`AdminView` gives it.
+"""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
 
 import falcon
 
-if TYPE_CHECKING:
-    from cranklane.node.process import NodeProcess
+from cranklane.distribution.member_state import MemberState
+from cranklane.node.admission import Admission
+from cranklane.node.members import MemberTable, MemberView
+from cranklane.node.metrics import NodeMetrics
+from cranklane.policy.adopted_policy import AdoptedPolicy
+
+
+@dataclass(frozen=True)
+class AdminView:
+    """What operators see of a node, and may ask of it.
+
+    :ivar service: full name of the worker's service; empty at an edge.
+    :ivar state: returns the node's own state.
+    :ivar control_connected: returns whether control is connected.
+    :ivar drain: makes the node take no new calls for its worker.
+    """
+
+    service: str
+    configuration: AdoptedPolicy
+    admission: Admission
+    members: MemberTable
+    metrics: NodeMetrics
+    state: Callable[[], MemberState]
+    control_connected: Callable[[], bool]
+    drain: Callable[[], None]
 
 
 class Admin:
     """The WSGI application; to be bound to an address that only operators reach."""
 
-    def __init__(self, process: NodeProcess) -> None:
-        self._process = process
+    def __init__(self, view: AdminView) -> None:
+        self._view = view
         self.application = falcon.App()
         self.application.add_route("/metrics", self, suffix="metrics")
         self.application.add_route("/status", self, suffix="status")
@@ -23,36 +51,43 @@
     def on_get_metrics(self, _request: falcon.Request, response: falcon.Response) -> None:
         """Return the metrics in the Prometheus text format."""
         response.content_type = "text/plain; version=0.0.4"
-        response.data = self._process.metrics.text()
+        response.data = self._view.metrics.text()
 
     def on_get_status(self, _request: falcon.Request, response: falcon.Response) -> None:
         """Return the node's state as JSON."""
-        process = self._process
-        admission = process.admission
+        view = self._view
+        concurrency = view.admission.concurrency
         response.media = {
-            "service": process.full_service,
-            "state": process.state().name.lower(),
-            "version": process.configuration.version,
-            "control_connected": process.subscription.connected,
-            "in_flight": admission.in_flight,
-            "queued": admission.queued,
-            "limit": admission.concurrency.limit,
-            "service_time_seconds": round(admission.concurrency.service_time, 4),
+            "service": view.service,
+            "state": self._state_name(),
+            "version": view.configuration.version,
+            "control_connected": view.control_connected(),
+            "in_flight": view.admission.in_flight,
+            "queued": view.admission.queued,
+            "limit": concurrency.limit,
+            "service_time_seconds": round(concurrency.service_time, 4),
             "members": [
-                {
-                    "node": member.node,
-                    "service": service.full_name,
-                    "zone": member.zone,
-                    "state": member.state.name.lower(),
-                    "load": round(member.load(), 3),
-                    "failures": member.failures,
-                }
-                for service in process.configuration.services()
-                for member in process.members.of(service.tenant, service.name)
+                _member_status(member, service.full_name)
+                for service in view.configuration.services()
+                for member in view.members.of(service.tenant, service.name)
             ],
         }
 
     def on_post_drain(self, _request: falcon.Request, response: falcon.Response) -> None:
         """Take no new calls for the worker."""
-        self._process.drain()
-        response.media = {"state": self._process.state().name.lower()}
+        self._view.drain()
+        response.media = {"state": self._state_name()}
+
+    def _state_name(self) -> str:
+        return self._view.state().name.lower()
+
+
+def _member_status(member: MemberView, service: str) -> dict[str, Any]:
+    return {
+        "node": member.node,
+        "service": service,
+        "zone": member.zone,
+        "state": member.state.name.lower(),
+        "load": round(member.load(), 3),
+        "failures": member.failures,
+    }
--- /dev/null
+++ b/src/cranklane/node/attempt.py
@@ -0,0 +1,229 @@
+"""Makes one attempt of a call: chooses a member, sends the call, waits for the answer's head.
+
+Owns nothing beyond the attempt. Relies on :mod:`~cranklane.node.balancer` for the choice,
+on :mod:`~cranklane.node.peers` for connections, and reports to
+:mod:`~cranklane.node.members` how it went.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass, field
+
+import gevent
+
+from cranklane.common.units import MILLISECONDS
+from cranklane.errors import ConnectionLostError
+from cranklane.node.answer import Answer, Request, refused
+from cranklane.node.balancer import Balancer
+from cranklane.node.context import CallContext
+from cranklane.node.members import MemberTable, MemberView
+from cranklane.node.metrics import NodeMetrics
+from cranklane.node.peer_connection import WINDOW_BYTES, CallCancelledError, PeerCall
+from cranklane.node.peers import PeerPool
+from cranklane.outcome import Criticality, Outcome, Reason
+from cranklane.policy.adopted_policy import Route, Service
+from cranklane.records.messages import AnswerHead, CallOpen
+from cranklane.runtime.interface import Runtime
+
+STALL_SECONDS = 30.0
+"""Seconds without any piece of an answer's body after which it counts as cut. A choice: as
+long as the answering node waits for a caller that takes no bytes."""
+
+DEFAULT_RETRY_AFTER_MS = 200
+"""Milliseconds after which a refused call may come back when the refusal states no time. A
+choice: long enough for another member to become known."""
+
+_MEMBER_FAULTS = frozenset(
+    {Reason.PEER_LOST, Reason.PEER_UNREACHABLE, Reason.WORKER_UNREACHABLE, Reason.DEADLINE_PASSED}
+)
+"""Reasons that count as failures of the member."""
+
+
+@dataclass(slots=True)
+class OutboundCall:
+    """One call on its way, over all its attempts.
+
+    :ivar context: what the call inherits.
+    :ivar criticality: in force for it: the route's, or the root request's.
+    :ivar attempts: attempts that reached a member.
+    :ivar redirects: attempts made up for, as the destination did not take the call.
+    :ivar maybe_ran: whether a worker may have started the work, in any attempt.
+    :ivar tried: names of the members tried.
+    """
+
+    context: CallContext
+    request: Request
+    service: Service
+    route: Route
+    criticality: Criticality
+    attempts: int = 0
+    redirects: int = 0
+    maybe_ran: bool = False
+    tried: set[str] = field(default_factory=set)
+
+
+class AttemptSender:
+    """Makes attempts for the calls of one node.
+
+    :param on_eject: called with a member whose failure has just ejected it.
+    """
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        members: MemberTable,
+        peers: PeerPool,
+        balancer: Balancer,
+        metrics: NodeMetrics,
+        on_eject: Callable[[MemberView], None],
+    ) -> None:
+        self._runtime = runtime
+        self._members = members
+        self._peers = peers
+        self._balancer = balancer
+        self._metrics = metrics
+        self._on_eject = on_eject
+
+    def attempt(self, call: OutboundCall) -> Answer:
+        """Make one attempt; return how it ended, with the answer's body still on its way."""
+        member = self._choose(call)
+        if member is None:
+            return refused(Reason.NO_MEMBERS, DEFAULT_RETRY_AFTER_MS)
+        call.tried.add(member.node)
+        context = call.context
+        remaining = context.deadline - self._runtime.monotonic()
+        if remaining <= 0:
+            return refused(Reason.DEADLINE_PASSED)
+        try:
+            connection = self._peers.connection(member, remaining)
+        except ConnectionLostError:
+            self._count_failure(member)
+            return refused(Reason.PEER_UNREACHABLE)
+        call.attempts += 1
+        granted = context.allowance.grant() if call.service.calls_others else 0
+        try:
+            sent = connection.open(self._record(call, granted))
+        except ConnectionLostError:
+            context.allowance.give_back(granted)
+            return refused(Reason.PEER_UNREACHABLE)
+        return self._await_answer(context, member, sent)
+
+    def _choose(self, call: OutboundCall) -> MemberView | None:
+        members = self._members.of(call.service.tenant, call.service.name)
+        member = self._balancer.choose(members, frozenset(call.tried))
+        if member is None and call.tried:
+            # All were tried: a second round beats giving up within the bounds.
+            member = self._balancer.choose(members)
+        return member
+
+    def _record(self, call: OutboundCall, granted: int) -> CallOpen:
+        context = call.context
+        request = call.request
+        remaining = context.deadline - self._runtime.monotonic()
+        return CallOpen(
+            deadline_ms=max(1, int(remaining * MILLISECONDS)),
+            allowance=granted,
+            criticality=call.criticality,
+            depth=context.depth + 1,
+            attempt=call.attempts,
+            root=context.root,
+            window=WINDOW_BYTES,
+            tenant=context.tenant,
+            caller=request.caller,
+            service=call.service.full_name,
+            method=request.method,
+            path=request.path,
+            key=request.key,
+            headers=request.headers,
+            body=request.body,
+        )
+
+    def _await_answer(self, context: CallContext, member: MemberView, call: PeerCall) -> Answer:
+        started = self._runtime.monotonic()
+        member.opened()
+        hook = context.on_cancel(call.cancel)
+        open_attempt = _OpenAttempt(context, member, call, hook)
+        try:
+            head = call.head(context.deadline - started)
+        except gevent.Timeout:
+            call.cancel(Reason.DEADLINE_PASSED)
+            return self._unknown(open_attempt, Reason.DEADLINE_PASSED)
+        except ConnectionLostError:
+            return self._unknown(open_attempt, Reason.PEER_LOST)
+        except CallCancelledError as error:
+            return self._unknown(open_attempt, error.reason)
+        return self._take_head(open_attempt, head, started)
+
+    def _unknown(self, open_attempt: _OpenAttempt, reason: Reason) -> Answer:
+        if reason in _MEMBER_FAULTS:
+            self._count_failure(open_attempt.member)
+        open_attempt.finish(unused=0)
+        return Answer(Outcome.UNKNOWN, reason)
+
+    def _take_head(self, open_attempt: _OpenAttempt, head: AnswerHead, started: float) -> Answer:
+        member = open_attempt.member
+        now = self._runtime.monotonic()
+        member.reported_load(head)
+        member.refusals[open_attempt.context.tenant] = (head.refused_below, now)
+        reason = Reason(head.reason)
+        if reason in _MEMBER_FAULTS:
+            self._count_failure(member)
+        else:
+            member.answered(now - started)
+        answer = Answer(Outcome(head.outcome), reason, head.status, head.headers)
+        answer.retry_after_ms = head.retry_after_ms
+        if answer.outcome is Outcome.ANSWERED:
+            answer.body = _AnswerBody(open_attempt)
+        else:
+            open_attempt.call.unused_allowance = head.allowance
+            open_attempt.finish(unused=head.allowance)
+        return answer
+
+    def _count_failure(self, member: MemberView) -> None:
+        if member.failed(self._runtime.monotonic()):
+            self._metrics.event("member_ejected")
+            self._on_eject(member)
+
+
+@dataclass(slots=True)
+class _OpenAttempt:
+    """What must be undone when an attempt ends, however it ends."""
+
+    context: CallContext
+    member: MemberView
+    call: PeerCall
+    hook: int
+    done: bool = False
+
+    def finish(self, unused: int) -> None:
+        """End the attempt; ``unused`` is the allowance that came back."""
+        if self.done:
+            return
+        self.done = True
+        self.call.close()
+        self.context.forget(self.hook)
+        self.context.allowance.give_back(unused)
+        self.member.closed()
+
+
+class _AnswerBody:
+    """The body of one attempt's answer; ends the attempt when read or closed."""
+
+    def __init__(self, open_attempt: _OpenAttempt) -> None:
+        self._open_attempt = open_attempt
+
+    @property
+    def is_whole(self) -> bool:
+        """Whether reading it does not wait any more."""
+        return self._open_attempt.call.is_whole
+
+    def __iter__(self) -> Iterator[bytes]:
+        try:
+            yield from self._open_attempt.call.body(STALL_SECONDS)
+        finally:
+            self.close()
+
+    def close(self) -> None:
+        """End the attempt; an answer not read whole is cancelled."""
+        self._open_attempt.finish(self._open_attempt.call.unused_allowance)
--- a/src/cranklane/node/balancer.py
+++ b/src/cranklane/node/balancer.py
@@ -1,4 +1,9 @@
-"""Chooses the node that gets a call."""
+"""Chooses the node that gets a call.
+
+Owns the rule and its constants; relies on :mod:`~cranklane.node.ejection` for who is left
+out. The sidecar chooses by cost among 16 candidates, since it also weighs a worker's health
+(:mod:`~cranklane.sidecar.routing.destinations`).
+"""
 
 from __future__ import annotations
 
@@ -6,25 +11,34 @@
 from random import Random
 
 from cranklane.distribution.member_state import MemberState
+from cranklane.node.ejection import without_ejected
 from cranklane.node.members import MemberView
 
 SLOW_START_SECONDS = 10.0
-"""A member new to us gets its full part of the calls only after this long."""
+"""Seconds until a member new to this node counts as warm. A choice: caches and connection
+pools of a worker fill within seconds."""
+
+MIN_WARMTH = 0.1
+"""Warmth of a member that has just come: its load counts ten times. A choice: it gets some
+calls at once, so that it can warm up."""
 
-SLOW_START_FLOOR = 0.1
 SPILL_LOAD = 1.0
-"""Calls for each slot in the own zone from which other zones are used too."""
+"""Calls for each slot in the own zone from which other zones are used too. A choice: at 1
+every member there has all its slots taken."""
 
-EJECTED_FLOOR = 0.5
-"""At least this part of a service's members is never ejected."""
+IDLE_LOAD = 0.01
+"""Added to each load, so that warmth tells idle members apart. A choice: far below the load
+of one call."""
 
 
 class Balancer:
-    """Least loaded of two random members, in the own zone while that has room.
+    """Less loaded of two random members, in the own zone while that has capacity.
 
+    Members are new to a process that has just started; all those that it first sees within
+    :data:`SLOW_START_SECONDS` of its own start count as warm.
+
+    :param clock: monotonic seconds.
     :param zone: the own zone.
-    :param slow_start: whether members new to us warm up; off right after this
-        process itself has started, when every member is new to it.
     """
 
     def __init__(self, clock: Callable[[], float], random: Random, zone: str) -> None:
@@ -45,7 +59,7 @@
             for member in members
             if member.state is MemberState.LIVE and member.node not in excluded
         ]
-        candidates = self._without_ejected(live)
+        candidates = without_ejected(live, self._clock())
         if not candidates:
             return None
         near = [member for member in candidates if member.zone == self._zone]
@@ -53,25 +67,17 @@
             candidates = near
         return self._better_of_two(candidates)
 
-    def _without_ejected(self, members: list[MemberView]) -> list[MemberView]:
-        now = self._clock()
-        healthy = [member for member in members if member.ejected_until <= now]
-        if len(healthy) >= len(members) * EJECTED_FLOOR:
-            return healthy
-        # More look broken than not: the fault is likelier on this side.
-        return members
-
-    def _better_of_two(self, candidates: list[MemberView]) -> MemberView:
+    def _better_of_two(self, candidates: Sequence[MemberView]) -> MemberView:
         if len(candidates) == 1:
             return candidates[0]
         first, second = self._random.sample(candidates, 2)
         return min(first, second, key=self._score)
 
     def _score(self, member: MemberView) -> tuple[float, float]:
-        return (member.load() + 0.01) / self._warmth(member), member.latency
+        return (member.load() + IDLE_LOAD) / self._warmth(member), member.latency
 
     def _warmth(self, member: MemberView) -> float:
         if member.first_seen - self._started < SLOW_START_SECONDS:
             return 1.0
         age = self._clock() - member.first_seen
-        return min(1.0, max(SLOW_START_FLOOR, age / SLOW_START_SECONDS))
+        return min(1.0, max(MIN_WARMTH, age / SLOW_START_SECONDS))
--- /dev/null
+++ b/src/cranklane/node/call_runner.py
@@ -0,0 +1,200 @@
+"""Admits inbound calls, runs them in the worker and answers them.
+
+Owns nothing but the call at hand. Relies on :mod:`~cranklane.node.admission` for a slot, on
+:mod:`~cranklane.node.once` for calls that may run only once, and on
+:mod:`~cranklane.node.worker` for the run.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from itertools import chain
+from typing import Any
+
+from result import Err, Ok, Result
+
+from cranklane.common.http_client import HttpResponse
+from cranklane.common.units import MILLISECONDS
+from cranklane.errors import AnswerCutError
+from cranklane.ledger.store import MAX_STORED_BODY
+from cranklane.node.admission import Admission, Refusal, Slot
+from cranklane.node.answer_stream import passed_on, send_stream, send_whole
+from cranklane.node.context import ContextTable
+from cranklane.node.inbound_call import InboundCall
+from cranklane.node.load import answer_head, refusal_head
+from cranklane.node.metrics import NodeMetrics
+from cranklane.node.once import OnceCalls, OnceRefusal, OnceTicket
+from cranklane.node.own_service import OwnService
+from cranklane.node.worker import WorkerClient, WorkerFailure
+from cranklane.outcome import Outcome, Reason, Repeat
+from cranklane.records.messages import AnswerHead
+from cranklane.runtime.interface import Runtime
+
+
+class CallRunner:
+    """Runs calls in the node's own worker."""
+
+    def __init__(
+        self,
+        runtime: Runtime,
+        service: OwnService,
+        admission: Admission,
+        worker: WorkerClient,
+        contexts: ContextTable,
+        once: OnceCalls,
+        metrics: NodeMetrics,
+    ) -> None:
+        self._runtime = runtime
+        self._service = service
+        self._admission = admission
+        self._worker = worker
+        self._contexts = contexts
+        self._once = once
+        self._metrics = metrics
+
+    def run(self, call: InboundCall) -> None:
+        """Admit a call, run it and answer it, or refuse it.
+
+        :raises ConnectionLostError: when the caller is gone.
+        """
+        context = call.context
+        admitted = self._admit(call)
+        if isinstance(admitted, Err):
+            refusal = admitted.err_value
+            self._metrics.admission(context.tenant, context.criticality, refusal.reason)
+            self._refuse(call, Outcome.NOT_RUN, refusal)
+            return
+        slot = admitted.ok_value
+        self._metrics.admission(context.tenant, context.criticality, Reason.NONE)
+        ran = False
+        self._contexts.add(context)
+        try:
+            ran = self._answer(call)
+        finally:
+            self._contexts.remove(context)
+            self._admission.release(slot, ran)
+
+    def _admit(self, call: InboundCall) -> Result[Slot, Refusal]:
+        reason = self._service.misdirected(call.message)
+        if reason is not None:
+            return Err(Refusal(reason))
+        context = call.context
+        started = self._runtime.monotonic()
+        admitted = self._admission.admit(
+            context.tenant, context.criticality, context.deadline, on_wait=context.on_cancel
+        )
+        if isinstance(admitted, Ok):
+            self._metrics.queued(self._runtime.monotonic() - started)
+        return admitted
+
+    def _refuse(self, call: InboundCall, outcome: Outcome, refusal: Refusal) -> None:
+        call.send(refusal_head(self._admission, call.context, outcome, refusal))
+
+    def _answer(self, call: InboundCall) -> bool:
+        """Run the call in the worker; return whether the worker ran it."""
+        route = self._service.route(call.message)
+        if route is None or route.repeat is not Repeat.ONCE:
+            return self._run_in_worker(call, None)
+        return self._run_once(call)
+
+    def _run_once(self, call: InboundCall) -> bool:
+        """Run a call under the ledger; return whether the worker ran it."""
+        remaining = call.context.deadline - self._runtime.monotonic()
+        begun = self._once.begin(call.message, self._service.ledgers, remaining)
+        if isinstance(begun, Err):
+            self._answer_without_run(call, begun.err_value)
+            return False
+        # From here on it runs to its end, so that a resend gets its answer.
+        call.detached = True
+        ticket = begun.ok_value
+        try:
+            return self._run_in_worker(call, ticket)
+        finally:
+            ticket.finish(Outcome.UNKNOWN)
+
+    def _answer_without_run(self, call: InboundCall, refusal: OnceRefusal) -> None:
+        self._metrics.event(f"once_{refusal.reason.label}")
+        if refusal.stored is None:
+            self._refuse(call, refusal.outcome, Refusal(refusal.reason, refusal.retry_after_ms))
+            return
+        head = answer_head(self._admission, call.context.tenant, Outcome.ANSWERED)
+        head.status = refusal.stored.status
+        head.headers = refusal.stored.headers
+        send_whole(call, head, refusal.stored.body)
+
+    def _run_in_worker(self, call: InboundCall, ticket: OnceTicket | None) -> bool:
+        context = call.context
+        started = self._runtime.monotonic()
+        result = self._worker.run(
+            call.message, context.token, context.deadline - started, _start_check(call, ticket)
+        )
+        if isinstance(result, Err):
+            if ticket is not None:
+                ticket.finish(result.err_value.outcome)
+            return self._worker_failed(call, result.err_value)
+        response = result.ok_value
+        self._metrics.worker(self._runtime.monotonic() - started)
+        try:
+            if ticket is None:
+                head = self._worker_head(call, response)
+                send_stream(call, head, response, response.body(), self._metrics)
+            else:
+                self._store_and_send(call, response, ticket)
+        finally:
+            response.close()
+        return True
+
+    def _worker_failed(self, call: InboundCall, failure: WorkerFailure) -> bool:
+        """Refuse the call; return whether the worker may have run it."""
+        concurrency = self._admission.concurrency
+        if failure.reason is Reason.WORKER_SHED:
+            concurrency.shed()
+        retry_after_ms = int(concurrency.service_time * MILLISECONDS)
+        if call.context.cancelled is None:
+            self._refuse(call, failure.outcome, Refusal(failure.reason, retry_after_ms))
+        return failure.outcome is Outcome.UNKNOWN
+
+    def _worker_head(self, call: InboundCall, response: HttpResponse) -> AnswerHead:
+        head = answer_head(self._admission, call.context.tenant, Outcome.ANSWERED)
+        head.status = response.status
+        head.headers = passed_on(response.headers)
+        return head
+
+    def _store_and_send(
+        self, call: InboundCall, response: HttpResponse, ticket: OnceTicket
+    ) -> None:
+        """Store an answer, when it is short enough, before its caller has it."""
+        head = self._worker_head(call, response)
+        pieces: list[bytes] = []
+        stored = 0
+        body = response.body()
+        try:
+            for data in body:
+                pieces.append(data)
+                stored += len(data)
+                if stored > MAX_STORED_BODY:
+                    break
+            else:
+                ticket.finish(Outcome.ANSWERED, head.status, head.headers, b"".join(pieces))
+        except AnswerCutError:
+            self._metrics.event("answer_cut")
+            self._refuse(call, Outcome.UNKNOWN, Refusal(Reason.ANSWER_CUT))
+            return
+        send_stream(call, head, response, chain(pieces, body), self._metrics)
+
+
+def _start_check(call: InboundCall, ticket: OnceTicket | None) -> Callable[[Any], bool]:
+    """Return what is asked, with the connection, just before the first byte leaves."""
+    context = call.context
+
+    def may_start(connection: Any) -> bool:
+        if context.cancelled is not None:
+            return False
+        # A cancelled call closes the worker's connection, so that the worker notices.
+        context.on_cancel(lambda _reason: connection.close())
+        return True
+
+    def may_start_once(_connection: Any) -> bool:
+        return context.cancelled is None and ticket is not None and ticket.may_start()
+
+    return may_start if ticket is None else may_start_once
--- /dev/null
+++ b/src/cranklane/node/caller_answer.py
@@ -0,0 +1,83 @@
+"""Writes answers to callers over HTTP."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterator
+
+import falcon
+
+from cranklane.common import headers as header_names
+from cranklane.common.headers import retry_after_seconds
+from cranklane.errors import AnswerCutError
+from cranklane.node.answer import Answer
+from cranklane.outcome import Outcome, Reason, status_of
+
+
+class _Body:
+    """Hands an answer's body to the HTTP server and reports when it is done."""
+
+    def __init__(self, answer: Answer, on_close: Callable[[], None]) -> None:
+        self._answer = answer
+        self._on_close = on_close
+
+    def __iter__(self) -> Iterator[bytes]:
+        return iter(self._answer.body)
+
+    def close(self) -> None:
+        """End the call, whole or not."""
+        self._answer.body.close()
+        self._on_close()
+
+
+def write_answer(
+    request: falcon.Request,
+    response: falcon.Response,
+    answer: Answer,
+    on_close: Callable[[], None],
+) -> None:
+    """Write a worker's answer; in one piece when all of it has come.
+
+    :param on_close: called when the body has been written or given up.
+    """
+    body = _Body(answer, on_close)
+    if answer.body.is_whole and request.method != "HEAD":
+        _write_whole(response, answer, body)
+        return
+    _write_head(response, answer)
+    response.stream = body
+
+
+def _write_whole(response: falcon.Response, answer: Answer, body: _Body) -> None:
+    try:
+        data = b"".join(body)
+    except AnswerCutError:
+        write_refusal(response, Answer(Outcome.UNKNOWN, Reason.ANSWER_CUT))
+        return
+    finally:
+        body.close()
+    _write_head(response, answer)
+    if data:
+        response.data = data
+
+
+def _write_head(response: falcon.Response, answer: Answer) -> None:
+    response.status = falcon.code_to_http_status(answer.status)
+    for name, value in answer.headers:
+        response.append_header(name, value)
+    response.set_header(header_names.OUTCOME, answer.outcome.label)
+    if answer.attempts > 1:
+        response.set_header(header_names.ATTEMPTS, str(answer.attempts))
+
+
+def write_refusal(response: falcon.Response, answer: Answer) -> None:
+    """Write the end of a call that no worker has answered."""
+    status = status_of(answer.outcome, answer.reason)
+    response.status = falcon.code_to_http_status(status)
+    response.set_header(header_names.OUTCOME, answer.outcome.label)
+    response.set_header(header_names.REASON, answer.reason.label)
+    response.set_header(header_names.ATTEMPTS, str(answer.attempts))
+    if answer.retry_after_ms:
+        response.set_header("Retry-After", retry_after_seconds(answer.retry_after_ms))
+        response.set_header(header_names.RETRY_AFTER_MS, str(answer.retry_after_ms))
+    response.content_type = falcon.MEDIA_TEXT
+    response.text = f"{answer.outcome.label}: {answer.reason.label}\n"
--- a/src/cranklane/node/inbound.py
+++ b/src/cranklane/node/inbound.py
@@ -1,42 +1,34 @@
-"""Serves calls from other nodes: admits them, runs them in the worker, answers."""
+"""Serves the connections of other nodes and starts a task for each call on them.
+
+Owns the connections. Relies on :mod:`~cranklane.node.call_runner` for the calls.
+"""
 
 from __future__ import annotations
 
-import zlib
-from collections.abc import Callable, Iterable
-from itertools import chain
+from collections.abc import Callable
 from typing import Any
 
 import gevent
-from result import Err, Ok, Result
 
-from cranklane.common.headers import HOP_BY_HOP, is_own
-from cranklane.common.http_client import HttpResponse
-from cranklane.common.units import MICROSECONDS
-from cranklane.errors import AnswerCutError, ConnectionLostError, MalformedRecordError
-from cranklane.ledger.store import MAX_STORED_BODY
-from cranklane.node.admission import Admission, Refusal, Slot
+from cranklane.common.units import MILLISECONDS
+from cranklane.errors import ConnectionLostError, MalformedRecordError
+from cranklane.node.admission import Admission
 from cranklane.node.allowance import Allowance
-from cranklane.node.context import CallContext, ContextTable
+from cranklane.node.call_runner import CallRunner
+from cranklane.node.context import CallContext
 from cranklane.node.inbound_call import InboundCall
+from cranklane.node.load import load_report
 from cranklane.node.metrics import NodeMetrics
-from cranklane.node.once import OnceCalls, OnceRefusal, OnceTicket
 from cranklane.node.peer_connection import PING_SECONDS, SILENT_SECONDS
-from cranklane.node.worker import WorkerClient, WorkerFailure
-from cranklane.outcome import Criticality, Outcome, Reason, Repeat
-from cranklane.policy.adopted_policy import AdoptedPolicy, Service
+from cranklane.outcome import Criticality, Reason
+from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane.records.connection import CONNECTION_CALL, RecordConnection, SilenceWatch
 from cranklane.records.messages import (
-    AnswerAbort,
-    AnswerBody,
-    AnswerEnd,
-    AnswerHead,
     CallCancel,
     CallOpen,
     Credit,
     GoingAway,
     Hello,
-    LoadReport,
     Message,
     Ping,
 )
@@ -48,28 +40,23 @@
 
     :param hello: returns this node's greeting.
     :param on_newer: called when a caller shows a newer configuration version.
+    :ivar calls: calls of other nodes in flight.
     """
 
     def __init__(
         self,
         runtime: Runtime,
-        service: str,
         configuration: AdoptedPolicy,
         admission: Admission,
-        worker: WorkerClient,
-        contexts: ContextTable,
-        once: OnceCalls,
+        runner: CallRunner,
         metrics: NodeMetrics,
         hello: Callable[[], Hello],
         on_newer: Callable[[], None],
     ) -> None:
         self._runtime = runtime
-        self._service = service
         self._configuration = configuration
         self._admission = admission
-        self._once = once
-        self._worker = worker
-        self._contexts = contexts
+        self._runner = runner
         self._metrics = metrics
         self._hello = hello
         self._on_newer = on_newer
@@ -101,6 +88,7 @@
                 call_number, message = records.receive()
                 self._take(records, calls, call_number, message)
         except ConnectionLostError:
+            # Calling nodes come and go; its calls are cancelled below.
             pass
         except MalformedRecordError:
             self._metrics.event("malformed_record")
@@ -132,22 +120,10 @@
             case Ping():
                 if message.version > self._configuration.version:
                     self._on_newer()
-                records.send(self.load_report())
+                records.send(load_report(self._admission, self._configuration.version))
             case _:
                 self._metrics.event("late_record")
 
-    def load_report(self) -> LoadReport:
-        """Return the node's own word on its worker's load."""
-        admission = self._admission
-        return LoadReport(
-            in_flight=admission.in_flight,
-            queued=admission.queued,
-            limit=admission.concurrency.limit,
-            wait_us=int(admission.expected_wait() * MICROSECONDS),
-            draining=admission.draining,
-            version=self._configuration.version,
-        )
-
     def _context(self, message: CallOpen) -> CallContext:
         try:
             criticality = Criticality(message.criticality)
@@ -157,7 +133,7 @@
             root=message.root,
             tenant=message.tenant,
             criticality=criticality,
-            deadline=self._runtime.monotonic() + message.deadline_ms / 1000,
+            deadline=self._runtime.monotonic() + message.deadline_ms / MILLISECONDS,
             allowance=Allowance(message.allowance),
             depth=message.depth,
         )
@@ -165,207 +141,19 @@
     def _run(self, call: InboundCall, calls: dict[int, InboundCall]) -> None:
         self.calls += 1
         try:
-            self._admit_and_answer(call)
+            self._runner.run(call)
         except ConnectionLostError:
+            # The calling node is gone: nobody is there to be answered.
             pass
         finally:
             self.calls -= 1
             calls.pop(call.number, None)
 
-    def _admit_and_answer(self, call: InboundCall) -> None:
-        context = call.context
-        admitted = self._admit(call)
-        if isinstance(admitted, Err):
-            refusal = admitted.err_value
-            self._metrics.admission(context.tenant, context.criticality, refusal.reason)
-            call.send(self._refusal(call, Outcome.NOT_RUN, refusal))
-            return
-        slot = admitted.ok_value
-        self._metrics.admission(context.tenant, context.criticality, Reason.NONE)
-        ran = False
-        self._contexts.add(context)
-        try:
-            ran = self._answer(call)
-        finally:
-            self._contexts.remove(context)
-            self._admission.release(slot, ran)
-
-    def _admit(self, call: InboundCall) -> Result[Slot, Refusal]:
-        reason = self._misdirected(call.message)
-        if reason is not None:
-            return Err(Refusal(reason))
-        context = call.context
-        started = self._runtime.monotonic()
-        admitted = self._admission.admit(
-            context.tenant, context.criticality, context.deadline, on_wait=context.on_cancel
-        )
-        if isinstance(admitted, Ok):
-            self._metrics.queued(self._runtime.monotonic() - started)
-        return admitted
-
-    def _misdirected(self, message: CallOpen) -> Reason | None:
-        service = self._own_service()
-        if service is None or message.service != self._service:
-            return Reason.UNKNOWN_ROUTE
-        if message.caller not in service.callers:
-            return Reason.NOT_GRANTED
-        return None
-
-    def _own_service(self) -> Service | None:
-        tenant, _, name = self._service.partition(".")
-        return self._configuration.service(tenant, name)
-
-    def _refusal(self, call: InboundCall, outcome: Outcome, refusal: Refusal) -> AnswerHead:
-        head = self._head(call, outcome, refusal.reason)
-        head.retry_after_ms = refusal.retry_after_ms
-        head.allowance = call.context.allowance.remaining
-        return head
-
-    def _head(self, call: InboundCall, outcome: Outcome, reason: Reason) -> AnswerHead:
-        admission = self._admission
-        return AnswerHead(
-            outcome=outcome,
-            reason=reason,
-            in_flight=admission.in_flight + admission.queued,
-            limit=admission.concurrency.limit,
-            wait_us=int(admission.expected_wait() * MICROSECONDS),
-            refused_below=admission.refused_below(call.context.tenant),
-            draining=admission.draining,
-        )
-
-    def _answer(self, call: InboundCall) -> bool:
-        """Run the call in the worker; return whether the worker ran it."""
-        service = self._own_service()
-        path = call.message.path.partition("?")[0]
-        route = service.route(call.message.method, path) if service is not None else None
-        if service is None or route is None or route.repeat is not Repeat.ONCE:
-            return self._run_in_worker(call, None)
-        remaining = call.context.deadline - self._runtime.monotonic()
-        begun = self._once.begin(call.message, service.ledgers, remaining)
-        if isinstance(begun, Err):
-            self._answer_without_run(call, begun.err_value)
-            return False
-        # From here on it runs to its end, so that a resend gets its answer.
-        call.detached = True
-        ticket = begun.ok_value
-        try:
-            return self._run_in_worker(call, ticket)
-        finally:
-            ticket.finish(Outcome.UNKNOWN)
-
-    def _answer_without_run(self, call: InboundCall, refusal: OnceRefusal) -> None:
-        self._metrics.event(f"once_{refusal.reason.label}")
-        if refusal.stored is None:
-            told = Refusal(refusal.reason, refusal.retry_after_ms)
-            call.send(self._refusal(call, refusal.outcome, told))
-            return
-        head = self._head(call, Outcome.ANSWERED, Reason.NONE)
-        head.status = refusal.stored.status
-        head.headers = refusal.stored.headers
-        self._send_whole(call, head, refusal.stored.body)
-
-    def _send_whole(self, call: InboundCall, head: AnswerHead, body: bytes) -> None:
-        call.queue(head)
-        if body:
-            call.queue(AnswerBody(0, body))
-        call.send(AnswerEnd(len(body), zlib.crc32(body), call.context.allowance.remaining))
-
-    def _run_in_worker(self, call: InboundCall, ticket: OnceTicket | None) -> bool:
-        context = call.context
-        started = self._runtime.monotonic()
-
-        def may_start(connection: Any) -> bool:
-            if context.cancelled is not None or (ticket and not ticket.may_start()):
-                return False
-            if ticket is None:
-                context.on_cancel(lambda _reason: connection.close())
-            return True
-
-        result = self._worker.run(
-            call.message, context.token, context.deadline - started, may_start
-        )
-        if isinstance(result, Err):
-            if ticket is not None:
-                ticket.finish(result.err_value.outcome)
-            return self._worker_failed(call, result.err_value)
-        response = result.ok_value
-        self._metrics.worker(self._runtime.monotonic() - started)
-        try:
-            if ticket is None:
-                self._stream(call, response, self._answer_head(call, response), response.body())
-            else:
-                self._stream_once(call, response, ticket)
-        finally:
-            response.close()
-        return True
-
-    def _stream_once(self, call: InboundCall, response: HttpResponse, ticket: OnceTicket) -> None:
-        """Store an answer, when it is short enough, before its caller has it."""
-        head = self._answer_head(call, response)
-        pieces: list[bytes] = []
-        stored = 0
-        body = response.body()
-        try:
-            for data in body:
-                pieces.append(data)
-                stored += len(data)
-                if stored > MAX_STORED_BODY:
-                    break
-            else:
-                ticket.finish(Outcome.ANSWERED, head.status, head.headers, b"".join(pieces))
-        except AnswerCutError:
-            self._metrics.event("answer_cut")
-            call.send(self._refusal(call, Outcome.UNKNOWN, Refusal(Reason.ANSWER_CUT)))
-            return
-        self._stream(call, response, head, chain(pieces, body))
-
-    def _worker_failed(self, call: InboundCall, failure: WorkerFailure) -> bool:
-        if failure.reason is Reason.WORKER_SHED:
-            self._admission.concurrency.shed()
-        retry_after_ms = int(self._admission.concurrency.service_time * 1000)
-        refusal = Refusal(failure.reason, retry_after_ms)
-        if call.context.cancelled is None:
-            call.send(self._refusal(call, failure.outcome, refusal))
-        return failure.outcome is Outcome.UNKNOWN
-
-    def _answer_head(self, call: InboundCall, response: HttpResponse) -> AnswerHead:
-        head = self._head(call, Outcome.ANSWERED, Reason.NONE)
-        head.status = response.status
-        head.headers = [
-            (name, value)
-            for name, value in response.headers
-            if name.lower() not in HOP_BY_HOP and not is_own(name)
-        ]
-        return head
-
-    def _stream(
-        self,
-        call: InboundCall,
-        response: HttpResponse,
-        head: AnswerHead,
-        body: Iterable[bytes],
-    ) -> None:
-        call.queue(head)
-        sequence = length = checksum = 0
-        try:
-            for data in body:
-                call.wait_for_window(len(data))
-                call.queue(AnswerBody(sequence, data))
-                if not response.whole:
-                    call.send_queued()
-                sequence += 1
-                length += len(data)
-                checksum = zlib.crc32(data, checksum)
-        except AnswerCutError:
-            self._metrics.event("answer_cut")
-            call.send(AnswerAbort(Reason.ANSWER_CUT, call.context.allowance.remaining))
-            return
-        call.send(AnswerEnd(length, checksum, call.context.allowance.remaining))
-
     def announce_stop(self) -> None:
-        """Tell every calling node to open no new calls here."""
+        """Ask every calling node to open no new calls here."""
         for records in list(self._connections.values()):
             try:
                 records.send(GoingAway(Reason.STOPPING))
             except ConnectionLostError:
+                # The node on this connection opens no calls any more.
                 pass
--- a/src/cranklane/node/members.py
+++ b/src/cranklane/node/members.py
@@ -1,4 +1,11 @@
-"""The nodes of the services this node calls, as told by control and as seen."""
+"""The nodes of the services that this node calls.
+
+Owns what this node knows of each: what control says of it, the load it reports, and how
+calls to it went. Relies on :mod:`~cranklane.node.ejection` for the rule on failures. The
+sidecar keeps more of a destination (:mod:`~cranklane.sidecar.routing.destinations`): there
+a worker's health and its absence from control's list count, here a member is there as long
+as control says so.
+"""
 
 from __future__ import annotations
 
@@ -6,15 +13,12 @@
 from dataclasses import dataclass, field
 
 from cranklane.distribution.member_state import MemberState
+from cranklane.node.ejection import ejection_seconds
 from cranklane.records.messages import AnswerHead, LoadReport, Member, MemberDelta
 from cranklane.runtime.interface import Address, parse_address
 
-EJECT_AFTER_FAILURES = 3
-"""Failures in a row after which a member gets no calls for a while."""
-
-EJECT_SECONDS = 5.0
-MAX_EJECT_SECONDS = 60.0
-_LATENCY_WEIGHT = 0.2
+LATENCY_WEIGHT = 0.2
+"""Weight of the newest latency in the smoothed one. A choice: about five answers count."""
 
 
 @dataclass(slots=True, eq=False)
@@ -68,16 +72,16 @@
     def answered(self, seconds: float) -> None:
         """Count a whole or refused answer: the node works."""
         self.failures = 0
-        weight = _LATENCY_WEIGHT if self.latency else 1.0
+        weight = LATENCY_WEIGHT if self.latency else 1.0
         self.latency += weight * (seconds - self.latency)
 
     def failed(self, now: float) -> bool:
         """Count a failure; return True when it ejects the member."""
         self.failures += 1
-        if self.failures < EJECT_AFTER_FAILURES:
+        seconds = ejection_seconds(self.failures)
+        if not seconds:
             return False
-        rounds = self.failures - EJECT_AFTER_FAILURES + 1
-        self.ejected_until = now + min(MAX_EJECT_SECONDS, EJECT_SECONDS * rounds)
+        self.ejected_until = now + seconds
         return True
 
 
--- a/src/cranklane/node/process.py
+++ b/src/cranklane/node/process.py
@@ -1,20 +1,24 @@
-"""A node or an edge: its parts put together, started and stopped."""
+"""A node or an edge: its parts put together, started, drained and stopped.
 
-from __future__ import annotations
+Owns the parts and the order in which they start and stop.
+"""
 
-import errno
-from dataclasses import dataclass
+from __future__ import annotations
 
 import gevent
 
 from cranklane.common.http_server import HttpServer
 from cranklane.common.logs import logger
+from cranklane.common.units import MILLISECONDS
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.subscription import Subscription
-from cranklane.node.admin import Admin
+from cranklane.node.admin import Admin, AdminView
 from cranklane.node.admission import Admission
+from cranklane.node.attempt import AttemptSender
 from cranklane.node.balancer import Balancer
+from cranklane.node.call_runner import CallRunner
 from cranklane.node.callers import Callers
+from cranklane.node.callers_port import open_when_free
 from cranklane.node.context import ContextTable
 from cranklane.node.inbound import Inbound
 from cranklane.node.ledger_client import LedgerClient
@@ -22,52 +26,27 @@
 from cranklane.node.metrics import NodeMetrics
 from cranklane.node.once import OnceCalls
 from cranklane.node.outbound import Outbound
+from cranklane.node.own_service import OwnService
 from cranklane.node.peers import PeerPool
+from cranklane.node.settings import NodeSettings
 from cranklane.node.worker import WorkerClient
 from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane.records.messages import Heartbeat, Hello, MemberDelta, Subscribe
 from cranklane.runtime.interface import Runtime, format_address, parse_address
-from cranklane.settings import (
-    ADDRESS,
-    ADDRESSES,
-    NAME,
-    OPTIONAL_ADDRESS,
-    OPTIONAL_NAME,
-    TEXT,
-    seconds,
-    setting,
-)
-
-PORT_LOOK_SECONDS = 0.05
-"""Seconds between tries to open the callers' port."""
-
-PORT_MARGIN_SECONDS = 5.0
-"""Seconds waited for the port beyond a predecessor's longest stop."""
 
 IDLE_GRACE_SECONDS = 10.0
-"""Seconds that clients' kept connections to an edge stay open after the last call."""
+"""Seconds that clients' kept connections to an edge stay open after the last call. A choice:
+most clients send their next request within it, and are asked to close with its answer."""
 
 STOP_ANNOUNCE_SECONDS = 0.2
-"""Seconds between telling callers that the node stops and closing its port."""
-
+"""Seconds between announcing to callers that the node stops and closing its port. A choice:
+the announcement reaches callers in other regions."""
 
-@dataclass
-class NodeSettings:
-    """Settings of a node, or of an edge when no service is named."""
+CLIENT_CHECK_SECONDS = 0.05
+"""Seconds between looks at whether clients have closed. A choice."""
 
-    name: str = setting(NAME, help="name of this node, unique in the fleet")
-    zone: str = setting(NAME, help="zone this machine stands in")
-    controls: list[str] = setting(ADDRESSES, help="control processes to follow")
-    http: str = setting(ADDRESS, help="address for callers")
-    data: str = setting(TEXT, help="data folder")
-    tenant: str = setting(OPTIONAL_NAME, "", help="tenant of the worker's service")
-    service: str = setting(OPTIONAL_NAME, "", help="service of the worker; none: an edge")
-    listen: str = setting(ADDRESS, "127.0.0.1:0", help="address for other nodes")
-    worker: str = setting(OPTIONAL_ADDRESS, "", help="the worker's HTTP address")
-    admin: str = setting(OPTIONAL_ADDRESS, "", help="address for metrics, status and drain")
-    stop_seconds: float = setting(
-        seconds(0, 86_400), 300.0, help="most seconds a planned stop waits for calls in flight"
-    )
+IDLE_CHECK_SECONDS = 0.02
+"""Seconds between looks at whether calls are in flight. A choice: short beside a call."""
 
 
 class NodeProcess:
@@ -80,38 +59,40 @@
         self._runtime = runtime
         self._settings = settings
         self._log = logger(process="node" if settings.service else "edge", node=settings.name)
-        self.incarnation = int(runtime.wall() * 1000)
+        self.incarnation = int(runtime.wall() * MILLISECONDS)
         self.configuration = AdoptedPolicy()
         self.metrics = NodeMetrics()
         self.members = MemberTable(runtime.monotonic)
         self.contexts = ContextTable(runtime.random)
         self.admission = Admission(runtime.monotonic, self.configuration.share)
         self.peers = PeerPool(runtime, self._hello, self._version, self._newer_seen)
-        self.outbound = Outbound(
+        self.outbound = self._new_outbound()
+        ledger = LedgerClient(runtime, self.members, self._hello)
+        self.once = OnceCalls(runtime, ledger)
+        self.inbound: Inbound | None = None
+        self._stopping = False
+
+    def _new_outbound(self) -> Outbound:
+        runtime = self._runtime
+        attempts = AttemptSender(
             runtime,
-            self.configuration,
             self.members,
             self.peers,
-            Balancer(runtime.monotonic, runtime.random, settings.zone),
+            Balancer(runtime.monotonic, runtime.random, self._settings.zone),
             self.metrics,
             self._ejected,
         )
-        ledger = LedgerClient(runtime, self.members, self._hello)
-        self.once = OnceCalls(runtime, ledger)
-        self.inbound: Inbound | None = None
-        self._stopping = False
-
-    @property
-    def full_service(self) -> str:
-        """``tenant.service``, or empty at an edge."""
-        settings = self._settings
-        return f"{settings.tenant}.{settings.service}" if settings.service else ""
+        return Outbound(runtime, self.configuration, self.members, attempts, self.metrics)
 
     def start(self) -> None:
         """Open the ports and follow control."""
         settings = self._settings
         self.callers = Callers(
-            self._runtime, self.full_service, self.configuration, self.outbound, self.contexts
+            self._runtime,
+            settings.full_service,
+            self.configuration,
+            self.outbound,
+            self.contexts,
         )
         self.http = self._listen_for_callers()
         if settings.service:
@@ -120,43 +101,53 @@
         self.subscription.load()
         self._runtime.spawn(self.subscription.follow)
         if settings.admin:
-            admin = Admin(self)
+            admin = Admin(self._admin_view())
             self.admin = HttpServer(self._runtime, parse_address(settings.admin), admin.application)
         self._log.info("started", version=self.configuration.version)
 
-    def _listen_for_callers(self) -> HttpServer:
-        """Open the callers' port; beside a worker, wait until it is free.
+    def _admin_view(self) -> AdminView:
+        return AdminView(
+            service=self._settings.full_service,
+            configuration=self.configuration,
+            admission=self.admission,
+            members=self.members,
+            metrics=self.metrics,
+            state=self.state,
+            control_connected=lambda: self.subscription.connected,
+            drain=self.drain,
+        )
 
-        A worker's child calls belong to the process that runs their parent call.
-        While a predecessor still finishes calls, it alone has the port.
-        """
-        address = parse_address(self._settings.http)
-        if not self._settings.service:
+    def _listen_for_callers(self) -> HttpServer:
+        """Open the callers' port; beside a worker, wait until it is free."""
+        settings = self._settings
+        address = parse_address(settings.http)
+        if not settings.service:
             return HttpServer(self._runtime, address, self.callers.application)
-        until = self._runtime.monotonic() + self._settings.stop_seconds + PORT_MARGIN_SECONDS
-        waiting = False
-        while True:
-            try:
-                return HttpServer(self._runtime, address, self.callers.application, shared=False)
-            except OSError as error:
-                if error.errno != errno.EADDRINUSE or self._runtime.monotonic() >= until:
-                    raise
-            if not waiting:
-                waiting = True
-                self._log.info("waiting_for_port", address=self._settings.http)
-            gevent.sleep(PORT_LOOK_SECONDS)
+        return open_when_free(
+            self._runtime,
+            address,
+            self.callers.application,
+            settings.stop_seconds,
+            lambda: self._log.info("waiting_for_port", address=settings.http),
+        )
 
     def _start_inbound(self) -> None:
         settings = self._settings
-        self.inbound = Inbound(
+        runner = CallRunner(
             self._runtime,
-            self.full_service,
-            self.configuration,
+            OwnService(settings.full_service, self.configuration),
             self.admission,
             WorkerClient(self._runtime, parse_address(settings.worker)),
             self.contexts,
             self.once,
             self.metrics,
+        )
+        self.inbound = Inbound(
+            self._runtime,
+            self.configuration,
+            self.admission,
+            runner,
+            self.metrics,
             self._hello,
             self._newer_version_seen,
         )
@@ -228,7 +219,7 @@
         self._log.info("configuration_in_force", version=self.configuration.version)
 
     def drain(self) -> None:
-        """Take no new calls for the worker, and say so to everybody."""
+        """Take no new calls for the worker, and announce that to control and callers."""
         if self.admission.draining:
             return
         self.admission.draining = True
@@ -257,7 +248,7 @@
         finished = self._wait_until_idle()
         if self.inbound is None:
             # A client may be sending on a kept connection right now: it still
-            # gets an answer, and is told to close.
+            # gets an answer, and is asked to close.
             self._wait_for_clients_to_close()
             finished = self._wait_until_idle() and finished
         self.http.stop_accepting()
@@ -268,7 +259,7 @@
     def _wait_for_clients_to_close(self) -> None:
         until = self._runtime.monotonic() + IDLE_GRACE_SECONDS
         while self.http.connections and self._runtime.monotonic() < until:
-            gevent.sleep(0.05)
+            gevent.sleep(CLIENT_CHECK_SECONDS)
 
     def _in_flight(self) -> int:
         inbound = self.inbound.calls if self.inbound is not None else 0
@@ -279,5 +270,5 @@
         while self._in_flight():
             if self._runtime.monotonic() >= until:
                 return False
-            gevent.sleep(0.02)
+            gevent.sleep(IDLE_CHECK_SECONDS)
         return True
--- a/src/cranklane_lab/simulation/fleet.py
+++ b/src/cranklane_lab/simulation/fleet.py
@@ -10,7 +10,8 @@
 
 from cranklane.control.process import ControlProcess, ControlSettings
 from cranklane.ledger.process import LedgerProcess, LedgerSettings
-from cranklane.node.process import NodeProcess, NodeSettings
+from cranklane.node.process import NodeProcess
+from cranklane.node.settings import NodeSettings
 from cranklane.policy.syntax import parse
 from cranklane.runtime.interface import Address, format_address
 from cranklane_lab.deployments import CLIENT_ZONE, Deployment, ServicePlan
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -8,13 +8,8 @@
 import pytest
 
 from cranklane.node.balancer import SLOW_START_SECONDS, Balancer
-from cranklane.node.members import (
-    EJECT_AFTER_FAILURES,
-    EJECT_SECONDS,
-    MAX_EJECT_SECONDS,
-    MemberState,
-    MemberTable,
-)
+from cranklane.node.ejection import EJECT_AFTER_FAILURES, EJECT_SECONDS, MAX_EJECT_SECONDS
+from cranklane.node.members import MemberState, MemberTable
 from cranklane.records.messages import AnswerHead, LoadReport, Member, MemberDelta
 
 DRAWS = 4000
--- a/tests/test_early_refusal.py
+++ b/tests/test_early_refusal.py
@@ -6,14 +6,11 @@
 
 import pytest
 
+from cranklane.node.early_refusal import REPORT_SECONDS, EarlyRefusal
 from cranklane.node.members import MemberTable
-from cranklane.node.outbound import EARLY_REFUSAL_MEMORY, Outbound
 from cranklane.outcome import Criticality
-from cranklane.policy.adopted_policy import Service
 from cranklane.records.messages import Member, MemberDelta
 
-SERVICE = Service("t", "s", 8, 64, False, 0.1, frozenset(), frozenset(), (), ())
-
 
 class Clock:
     random = Random(1)
@@ -39,8 +36,8 @@
 
 
 def refused_part(clock, members, criticality):
-    outbound = Outbound(clock, None, members, None, None, None, None)
-    return sum(outbound._refused_early(SERVICE, "t", criticality) for _ in range(200)) / 200
+    rule = EarlyRefusal(clock.monotonic, clock.random)
+    return sum(rule.refuses(members.of("t", "s"), "t", criticality) for _ in range(200)) / 200
 
 
 def refuse(members, clock, count, highest):
@@ -62,7 +59,7 @@
 
 def test_the_word_of_a_member_is_soon_forgotten(clock, members):
     refuse(members, clock, 3, Criticality.CRITICAL)
-    clock.now += EARLY_REFUSAL_MEMORY + 0.01
+    clock.now += REPORT_SECONDS + 0.01
     assert refused_part(clock, members, Criticality.BACKGROUND) == 0
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -4,7 +4,7 @@
 
 from cranklane.control.process import ControlSettings
 from cranklane.errors import SettingsError
-from cranklane.node.process import NodeSettings
+from cranklane.node.settings import NodeSettings
 from cranklane.settings import load
 
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -16,7 +16,8 @@
 from cranklane.controller.process import Controller, ControllerSettings
 from cranklane.ledger.process import LedgerProcess, LedgerSettings
 from cranklane.ledger.store import LedgerDecision
-from cranklane.node.process import NodeProcess, NodeSettings
+from cranklane.node.process import NodeProcess
+from cranklane.node.settings import NodeSettings
 from cranklane.records.messages import LedgerBatch, LedgerBegin, LedgerEntry
 from cranklane_lab.scenarios.library import SMALL
 from cranklane_lab.simulation.world import simulate
