--- /dev/null
+++ b/src/cranklane/sidecar/ingress/call_builder.py
@@ -0,0 +1,123 @@
+"""Finds the route of a caller's request, and builds the call that is sent on for it."""
+
+from __future__ import annotations
+
+from cranklane.common.http1.message import Framing, RequestHead
+from cranklane.common.http1.writer import end_to_end, framing_line, header_lines
+from cranklane.common.request_names import HeaderNames
+from cranklane.common.units import MILLISECONDS
+from cranklane.outcome import Reason
+from cranklane.routes.splitter import Splitter
+from cranklane.routes.table import Route
+from cranklane.sidecar.admission import retry_after
+from cranklane.sidecar.ingress.authentication import Caller, identity_line
+from cranklane.sidecar.ingress.caller_connection import CallerConnection
+from cranklane.sidecar.ingress.caller_request import CallerRequest
+from cranklane.sidecar.request.attempt import Reply, refusal
+from cranklane.sidecar.request.call_tree import Root, Run
+from cranklane.sidecar.routing.dispatcher import Call
+
+
+def find_route(request: CallerRequest) -> Route | Reply:
+    """Return a request's route, or the answer when there is none."""
+    table = request.table
+    if table.version == 0:
+        return refusal(Reason.NO_CONFIGURATION, retry_after_ms=retry_after.DEFAULT_MS)
+    hosts = [value for name, value in request.head.headers if name.lower() == b"host"]
+    path = path_of(request.head.target)
+    if len(hosts) != 1 or path is None:
+        return refusal(Reason.BAD_REQUEST)
+    route = table.find(hosts[0].decode("latin-1"), path)
+    return route or refusal(Reason.UNKNOWN_ROUTE)
+
+
+def path_of(target: bytes) -> str | None:
+    """Return the path of a request target without its query, or None.
+
+    >>> path_of(b"/a%2Fb?c"), path_of(b"http://h/a"), path_of(b"*")
+    ('/a%2Fb', '/a', None)
+    """
+    text = target.decode("latin-1")
+    if not text.startswith("/"):
+        scheme, separator, rest = text.partition("://")
+        if not separator:
+            return None
+        text = "/" + rest.partition("/")[2]
+    return text.partition("?")[0]
+
+
+class CallBuilder:
+    """Builds calls from the requests of one machine's callers.
+
+    :param caller_service: service of this machine, stated on every request.
+    :param splitter: chooses the service of a route that has several.
+    """
+
+    def __init__(self, names: HeaderNames, caller_service: str, splitter: Splitter) -> None:
+        self._names = names
+        self._caller_service = caller_service.encode()
+        self._splitter = splitter
+        self._deadline_name = names.deadline.lower()
+        self._set_here = names.set_here
+
+    def build(
+        self,
+        connection: CallerConnection,
+        request: CallerRequest,
+        route: Route,
+        caller: Caller,
+        run: Run | None,
+    ) -> Call:
+        """Return the call for a request whose body has been read as far as it is kept.
+
+        :param run: the run of this machine's worker that makes the request, if one does.
+        """
+        head = request.head
+        started_at = request.started_at
+        deadline = started_at + self._allowed_seconds(head, route)
+        body = connection.body
+        framing, length = head.framing, head.length
+        if connection.body_whole and framing is Framing.CHUNKED:
+            framing, length = Framing.LENGTH, len(body)
+        return Call(
+            request=request.id,
+            route=route,
+            tenant=caller.tenant,
+            service=self._splitter.choose(route),
+            started_at=started_at,
+            deadline=deadline,
+            bodiless=head.method == b"HEAD",
+            framing=framing,
+            length=length,
+            lines=self._lines(head, framing, length, caller),
+            body=body,
+            root=run.root if run is not None else _root_of(route, caller, started_at, deadline),
+            of_client=run is None,
+            rest=None if connection.body_whole else connection.next_piece,
+        )
+
+    def _allowed_seconds(self, head: RequestHead, route: Route) -> float:
+        """Return how long the caller waits: as its route allows, or less by its own word."""
+        allowed_ms = route.timeout_ms
+        stated = head.value(self._deadline_name)
+        if stated is not None and stated.isdigit():
+            allowed_ms = min(allowed_ms, int(stated))
+        return allowed_ms / MILLISECONDS
+
+    def _lines(self, head: RequestHead, framing: Framing, length: int, caller: Caller) -> bytes:
+        """Return the request line and the headers that are passed on or set here."""
+        return b"%s %s HTTP/1.1\r\n%s%s%s%s: %s\r\n" % (
+            head.method,
+            head.target,
+            header_lines(end_to_end(head.headers, self._set_here)),
+            framing_line(framing, length),
+            identity_line(self._names, caller),
+            self._names.caller,
+            self._caller_service,
+        )
+
+
+def _root_of(route: Route, caller: Caller, started_at: float, deadline: float) -> Root:
+    """Return what a client's request is to the calls that are made for it."""
+    objective_at = started_at + route.objective_ms / MILLISECONDS
+    return Root(caller.priority, started_at, objective_at, deadline)
--- /dev/null
+++ b/src/cranklane/sidecar/ingress/caller_request.py
@@ -0,0 +1,98 @@
+"""A request of a caller as its head says, and reading it from the caller's connection.
+
+Decides which requests cannot be read and with which status these are answered. Relies on
+:class:`CallerConnection` for the bytes.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from http import HTTPStatus
+
+from cranklane.common.http1.message import (
+    Framing,
+    HeadTooLargeError,
+    MalformedMessageError,
+    MessageCutError,
+    RequestHead,
+)
+from cranklane.common.units import MILLISECONDS
+from cranklane.routes.table import Limits, RouteTable
+from cranklane.sidecar.ingress.caller_connection import CallerConnection
+from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
+
+_CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+
+
+class UnreadableRequestError(Exception):
+    """A request cannot be read, and its connection can serve no other.
+
+    :ivar status: of the answer; None when nobody is there to read one.
+    """
+
+    def __init__(self, status: HTTPStatus | None) -> None:
+        super().__init__(status)
+        self.status = status
+
+
+@dataclass(slots=True)
+class CallerRequest:
+    """One request of a caller, as its head says.
+
+    :ivar id_header: the request id as the caller sent it; empty without one.
+    :ivar id: the same as text.
+    :ivar table: the route table in force as it came.
+    :ivar started_at: monotonic second at which its head had been read.
+    """
+
+    head: RequestHead
+    id_header: bytes
+    id: str
+    table: RouteTable
+    started_at: float
+
+
+def read_head(connection: CallerConnection, limits: Limits) -> RequestHead | None:
+    """Wait for the head of the next request; None when there is none to answer.
+
+    :raises UnreadableRequestError: when it is malformed, too large or too slow.
+    """
+    idle_seconds = limits.idle_timeout_ms / MILLISECONDS
+    head_seconds = limits.header_timeout_ms / MILLISECONDS
+    try:
+        return connection.next_head(idle_seconds, head_seconds)
+    except HeadTooLargeError as error:
+        raise UnreadableRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE) from error
+    except MalformedMessageError as error:
+        raise UnreadableRequestError(HTTPStatus.BAD_REQUEST) from error
+    except MessageCutError:
+        # The caller closed the connection within a head: nobody reads an answer.
+        return None
+    except TimeoutError as error:
+        if not connection.reader.started:
+            # An idle connection: the caller does not wait for an answer.
+            return None
+        raise UnreadableRequestError(HTTPStatus.REQUEST_TIMEOUT) from error
+
+
+def read_body(connection: CallerConnection, head: RequestHead, limits: Limits) -> None:
+    """Read a small body whole, or the first part of a large one, into the connection.
+
+    :raises UnreadableRequestError: when it is malformed, too large, too slow or cut.
+    """
+    if head.framing is Framing.LENGTH and head.length > limits.max_body_bytes:
+        raise UnreadableRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
+    expect = head.value(b"expect")
+    if expect is not None and expect.lower() == b"100-continue":
+        connection.send(_CONTINUE)
+    connection.stream.settimeout(limits.idle_timeout_ms / MILLISECONDS)
+    try:
+        connection.read_body(SMALL_BODY_BYTES, limits.max_body_bytes)
+    except HeadTooLargeError as error:
+        raise UnreadableRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE) from error
+    except MalformedMessageError as error:
+        raise UnreadableRequestError(HTTPStatus.BAD_REQUEST) from error
+    except TimeoutError as error:
+        raise UnreadableRequestError(HTTPStatus.REQUEST_TIMEOUT) from error
+    except MessageCutError as error:
+        raise UnreadableRequestError(None) from error
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -21,7 +21,7 @@
 from cranklane.sidecar.control_link import ControlledState, ControlLink
 from cranklane.sidecar.ingress.authentication import Authentication
 from cranklane.sidecar.ingress.disconnect import DisconnectWatch
-from cranklane.sidecar.ingress.ingress import Ingress
+from cranklane.sidecar.ingress.ingress import Ingress, IngressParts
 from cranklane.sidecar.own_member import OwnMember
 from cranklane.sidecar.planned_stop import stop_times, wait_until_idle
 from cranklane.sidecar.quarantine.api import QuarantineApi
@@ -154,17 +154,15 @@
         authentication = Authentication(
             self._names, self.lease, self.quota, self.decisions.refused_at_ingress
         )
-        self.ingress = Ingress(
-            self._runtime,
-            self._names,
-            self.settings.service,
+        parts = IngressParts(
             lambda: self.adopted.table,
+            authentication,
             self.dispatcher,
             disconnects,
             call_tree,
-            authentication,
             self.decisions.decided,
         )
+        self.ingress = Ingress(self._runtime, self._names, self.settings.service, parts)
 
     def _build_control_link(self) -> None:
         state = ControlledState(
