--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -122,8 +122,7 @@
             call_tree,
             self.condition,
             self.quarantine.table,
-            self.decisions.admission,
-            self.decisions.worker_exited,
+            self.decisions,
         )
         self.peer_server = PeerServer(
             runtime, self.gate, disconnects, self.quarantine.received, self._log
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -20,7 +20,8 @@
 from cranklane.routes.table import Route
 from cranklane.runtime.interface import Runtime
 from cranklane.sidecar.admission import retry_after
-from cranklane.sidecar.admission.gate import Gate, tells_its_time
+from cranklane.sidecar.admission.gate import Gate
+from cranklane.sidecar.admission.run_outcome import measures_latency
 from cranklane.sidecar.quarantine.table import Quarantine, QuarantineState
 from cranklane.sidecar.request.attempt import Attempt, BodyReader, Reply, refusal
 from cranklane.sidecar.request.call_tree import Root
@@ -297,7 +298,7 @@
         self, call: Call, destination: Destination, reply: Reply, seconds: float
     ) -> None:
         """Compare a run's time with what is typical of its route."""
-        if tells_its_time(reply):
+        if measures_latency(reply):
             ratio = self._times.ratio(call.route.name, reply.run_time_ms / 1000 or seconds)
             destination.slowness.sample(self._runtime.monotonic(), ratio)
 
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cranklane.records.messages import Member, MemberDelta
-from cranklane.sidecar.admission import gate, isolated_runs
+from cranklane.sidecar.admission import crash_evidence, isolated_runs
 from cranklane.sidecar.admission.isolated_runs import SuspectAdmission
 from cranklane.sidecar.quarantine import table as quarantine
 from cranklane.sidecar.quarantine.gossip import QuarantineGossip
@@ -98,7 +98,7 @@
             self.suspect(service, identity)
         judge(self, service, end, runs)
 
-    monkeypatch.setattr(gate, "_level_of", lambda run: -run.level)
+    monkeypatch.setattr(crash_evidence, "_level_of", lambda run: -run.level)
     monkeypatch.setattr(Quarantine, "retried", Quarantine.suspect)
     monkeypatch.setattr(Quarantine, "worker_crashed", worker_crashed)
     assert play(popular_held, **FLEET)
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -4,8 +4,8 @@
 
 from cranklane.outcome import Reason
 from cranklane.sidecar.admission import slots as module
-from cranklane.sidecar.admission.gate import HeldAnswer
 from cranklane.sidecar.admission.slots import Slots
+from cranklane.sidecar.admission.streamed_answer import StreamedAnswer
 from cranklane_lab.simulation.loop import run_virtual
 
 
@@ -144,11 +144,11 @@
         yield b"piece"
 
     ended = []
-    unread = HeldAnswer(pieces(), lambda: ended.append("unread"))
+    unread = StreamedAnswer(pieces(), lambda: ended.append("unread"))
     unread.close()
     unread.close()
     assert ended == ["unread"]
-    assert list(HeldAnswer(pieces(), lambda: ended.append("read"))) == [b"piece"]
+    assert list(StreamedAnswer(pieces(), lambda: ended.append("read"))) == [b"piece"]
     assert ended == ["unread", "read"]
 
 
