--- a/src/cranklane/control/store.py
+++ b/src/cranklane/control/store.py
@@ -1,7 +1,7 @@
 """The configuration store: documents, compiled rows, history, answered requests.
 
 The store changes only by applying committed commands in order, so that every
-replica comes to the same state.
+replica comes to the same state. It owns that state; the replica owns its order.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
+from cranklane.distribution.row_history import RowHistory
 from cranklane.records.messages import (
     ConfigDelta,
     ConfigRow,
@@ -24,7 +25,7 @@
 """Name of the document with the settings above all tenants."""
 
 HISTORY_LIMIT = 2000
-"""Accepted edits kept with their texts."""
+"""Accepted edits kept with their texts. A choice: about a day and a half at 1,300 a day."""
 
 REQUEST_LIMIT = 10_000
 """Answers to operators' requests kept for resends: a week at 1,300 a day."""
@@ -62,8 +63,7 @@
         self.revision = 0
         self._whole_below = 0
         self._documents: dict[str, Document] = {}
-        # In the order of their revisions, so that a delta reads only what changed.
-        self._rows: OrderedDict[str, ConfigRow] = OrderedDict()
+        self._rows = RowHistory()
         self._history: list[HistoryEntry] = []
         self._requests: OrderedDict[tuple[str, str], RequestAnswer] = OrderedDict()
 
@@ -91,17 +91,10 @@
 
         A row without a value is a deletion.
         """
-        changed = [
-            ConfigRow(key=key, value=value)
-            for key, value in compiled.items()
-            if key not in self._rows or self._rows[key].value != value
-        ]
-        gone = [
-            ConfigRow(key=key)
-            for key, row in self._rows.items()
-            if row.value and key not in compiled
-        ]
-        return changed + gone
+        difference = self._rows.difference(compiled)
+        changed = [ConfigRow(key=key, value=value) for key, value in difference.changed.items()]
+        deleted = [ConfigRow(key=key) for key in difference.deleted]
+        return changed + deleted
 
     def apply(self, data: bytes) -> EditAnswer:
         """Apply a committed edit and return its answer.
@@ -125,8 +118,7 @@
         self.revision += 1
         self._documents[command.document] = Document(self.revision, command.document, command.text)
         for row in command.rows:
-            self._rows[row.key] = ConfigRow(self.revision, row.key, row.value)
-            self._rows.move_to_end(row.key)
+            self._rows.put(self.revision, row.key, row.value)
         self._remember(command)
         return self._answer(command, EditResult.ACCEPTED, self.revision)
 
@@ -152,27 +144,15 @@
             self._requests.popitem(last=False)
         return EditAnswer(result, version)
 
-    def rows_since(self, revision: int) -> list[ConfigRow]:
-        """Return the rows changed after a revision, deletions included."""
-        changed = []
-        for row in reversed(self._rows.values()):
-            if row.revision <= revision:
-                break
-            changed.append(row)
-        changed.reverse()
-        return changed
-
     def value(self, key: str) -> bytes:
         """Return a row's value, empty when there is none."""
-        row = self._rows.get(key)
-        return row.value if row is not None else b""
+        return self._rows.value(key)
 
     def delta(self, base: int) -> ConfigDelta:
         """Return what a subscriber at ``base`` needs to be current."""
         if base == 0 or base < self._whole_below or base > self.revision:
-            rows = [row for row in self._rows.values() if row.value]
-            return ConfigDelta(0, self.revision, True, rows)
-        return ConfigDelta(base, self.revision, False, self.rows_since(base))
+            return ConfigDelta(0, self.revision, True, self._rows.live())
+        return ConfigDelta(base, self.revision, False, self._rows.since(base))
 
     def pack(self) -> bytes:
         """Return the whole state for a snapshot."""
@@ -180,7 +160,7 @@
             revision=self.revision,
             whole_below=self._whole_below,
             documents=self.documents(),
-            rows=list(self._rows.values()),
+            rows=self._rows.all(),
             history=self._history,
             requests=list(self._requests.values()),
         ).pack()
@@ -191,7 +171,7 @@
         self.revision = state.revision
         self._whole_below = state.whole_below
         self._documents = {document.name: document for document in state.documents}
-        self._rows = OrderedDict((row.key, row) for row in state.rows)
+        self._rows.restore(state.rows)
         self._history = list(state.history)
         self._requests = OrderedDict(
             ((answer.operator, answer.request), answer) for answer in state.requests
--- a/src/cranklane/replication/joining.py
+++ b/src/cranklane/replication/joining.py
@@ -1,4 +1,8 @@
-"""How a replica with an empty data folder becomes part of its group."""
+"""Makes a replica with an empty data folder part of its group, as operators have planned it.
+
+Used where an operator names all replicas and the founder; see :mod:`self_assembly` for groups
+that form without one. Relies on the membership changes of the replicas that are asked.
+"""
 
 from __future__ import annotations
 
@@ -6,13 +10,16 @@
 
 import gevent
 
-from cranklane.records.messages import JoinReply, JoinRequest
-from cranklane.replication.link import ReplicaLink
+from cranklane.replication.join_request import ask_to_join
 from cranklane.replication.membership_change import JoinStatus
 from cranklane.replication.replica import Replica
 
 RETRY_SECONDS = 0.5
+"""Mean time between rounds over all replicas, spread by half on either side. A choice."""
+
 REPLY_SECONDS = 6.0
+"""Wait for an answer. A choice: above ``PROPOSAL_SECONDS``, as the leader answers after the
+change of members is committed."""
 
 
 class Joining:
@@ -36,7 +43,7 @@
         replica = self._replica
         waiting = False
         while not replica.is_member:
-            if self._try():
+            if self._ask_all():
                 break
             if not waiting:
                 waiting = True
@@ -44,14 +51,15 @@
             gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
         replica.event_log.info("joined_group", group=replica.own.group, name=replica.own.name)
 
-    def _try(self) -> bool:
+    def _ask_all(self) -> bool:
+        """Ask each replica once; return whether this one belongs to the group now."""
         without_group = 0
         addresses = list(self._peers)
         asked: set[str] = set()
         while addresses:
             address = addresses.pop(0)
             asked.add(address)
-            reply = self._ask(address)
+            reply = ask_to_join(self._replica, address, self._voter, REPLY_SECONDS)
             if reply is None:
                 continue
             if reply.status == JoinStatus.NO_GROUP:
@@ -65,13 +73,3 @@
             self._replica.found_group()
             return True
         return False
-
-    def _ask(self, address: str) -> JoinReply | None:
-        replica = self._replica
-        own = replica.own
-        link = ReplicaLink(replica.runtime, address, replica.hello())
-        request = JoinRequest(replica.identity, self._voter, own.name, own.address, own.http)
-        try:
-            return link.call(request, JoinReply, REPLY_SECONDS)
-        finally:
-            link.close()
--- a/src/cranklane/replication/membership_change.py
+++ b/src/cranklane/replication/membership_change.py
@@ -1,7 +1,12 @@
-"""Changes of a group's members: one replica at a time, never giving a quorum away."""
+"""Changes of a group's members: one replica at a time, never giving a quorum away.
+
+Runs on every replica and acts while it leads. Relies on the leadership for who answers and
+who has caught up; the members themselves are entries of the log.
+"""
 
 from __future__ import annotations
 
+from collections.abc import Callable, Iterable
 from enum import IntEnum
 
 import gevent
@@ -14,18 +19,20 @@
 from cranklane.replication.state import EntryKind
 
 PROMOTION_SECONDS = 0.3
-"""Seconds between looks at learners that are to vote."""
+"""Between looks at learners that are to vote. A choice: well below
+``SILENT_VOTER_SECONDS``."""
 
 ALIVE_SECONDS = 3.0
-"""A replica that answered the leader within this time counts as there."""
-
+"""Time since its last reply to the leader within which a replica counts as alive. A choice:
+several replies may be lost (``REPLY_SECONDS``)."""
 
 SILENT_VOTER_SECONDS = 1.5
-"""A voter that has answered nothing for this long may lose its place to a learner."""
-
+"""Time without a reply after which a learner that has caught up replaces a voter. A choice:
+above one lost reply, as the learner is ready to vote."""
 
 SURPLUS_SILENT_SECONDS = 3.0
-"""A voter beyond those the group is to have is removed after this long a silence."""
+"""Time without a reply after which a voter is removed that the group does not need. A choice:
+longer than for a replacement, since nothing waits for it."""
 
 
 class JoinStatus(IntEnum):
@@ -65,6 +72,8 @@
         self._voters = voters
         replica.runtime.spawn(self._promote)
 
+    # What replicas and operators ask for.
+
     def join(self, request: JoinRequest) -> JoinReply:
         """Answer a replica that asks to become part of the group."""
         replica = self._replica
@@ -75,18 +84,26 @@
             return JoinReply(JoinStatus.NOT_LEADER, leader.address if leader else "")
         if replica.members.find(request.identity) is not None:
             return JoinReply(JoinStatus.ACCEPTED)
-        former = replica.members.named(request.name)
-        same_address = former is not None and former.address == request.address
-        if former is not None and not same_address and self._is_there(former):
-            return JoinReply(JoinStatus.NAME_IN_USE)
-        # Whoever had this very address before has lost its disk: one process has it.
-        if former is not None and isinstance(self.remove(former.name), Err):
-            return JoinReply(JoinStatus.BUSY)
+        return JoinReply(self._admit(request))
+
+    def _admit(self, request: JoinRequest) -> JoinStatus:
+        """Add a new learner in place of a former replica of its name.
+
+        A name is refused while its replica is alive at another address. Whoever had this
+        very address before has lost its disk: one process has an address.
+        """
+        former = self._replica.members.named(request.name)
+        if former is not None:
+            moved = former.address != request.address
+            if moved and self._is_alive(former):
+                return JoinStatus.NAME_IN_USE
+            if isinstance(self.remove(former.name), Err):
+                return JoinStatus.BUSY
         learner = ReplicaMember(
             request.identity, False, request.voter, request.name, request.address, request.http
         )
-        added = self._state([*replica.members.current, learner])
-        return JoinReply(JoinStatus.BUSY if isinstance(added, Err) else JoinStatus.ACCEPTED)
+        added = self._propose_members([*self._replica.members.current, learner])
+        return JoinStatus.BUSY if isinstance(added, Err) else JoinStatus.ACCEPTED
 
     def remove(self, name: str) -> Result[None, ChangeFailure]:
         """Remove a replica from the group."""
@@ -95,40 +112,35 @@
         if member is None:
             return Err(ChangeFailure.UNKNOWN_NAME)
         rest = [item for item in replica.members.current if item.identity != member.identity]
-        if member.voter and not self._would_have_quorum(rest):
+        if member.voter and not keeps_quorum(rest, self._is_alive):
             return Err(ChangeFailure.QUORUM_AT_RISK)
-        removed = self._state(rest)
+        removed = self._propose_members(rest)
         if isinstance(removed, Ok) and member.identity == replica.identity:
             with replica.changing:
                 replica.step_down()
         return removed
 
     def promote(self, name: str, wanted: bool) -> Result[None, ChangeFailure]:
-        """State whether a learner is to vote once it has caught up."""
-        replica = self._replica
-        member = replica.members.named(name)
+        """Set whether a learner is to vote once it has caught up."""
+        member = self._replica.members.named(name)
         if member is None:
             return Err(ChangeFailure.UNKNOWN_NAME)
-        changed = ReplicaMember(
-            member.identity, member.voter, wanted, member.name, member.address, member.http
-        )
-        return self._state(self._with(changed))
+        return self._propose_members(self._with(member.replaced(promote=wanted)))
+
+    # What the leader does by itself.
 
     def _promote(self) -> None:
-        """Let learners vote that are to, once they have caught up."""
+        """Let learners vote that are to, once they have caught up, for ever."""
         while True:
             gevent.sleep(PROMOTION_SECONDS)
-            replica = self._replica
-            if not replica.may_read or replica.leadership is None:
+            leadership = self._replica.leadership
+            if leadership is None or not self._replica.may_read:
                 continue
-            learner = self._ready_learner(replica.leadership)
+            learner = self._ready_learner(leadership)
             if learner is None:
                 self._remove_silent(self._voters + 1, SURPLUS_SILENT_SECONDS)
             elif not self._remove_silent(self._voters, SILENT_VOTER_SECONDS):
-                voter = ReplicaMember(
-                    learner.identity, True, False, learner.name, learner.address, learner.http
-                )
-                self._state(self._with(voter))
+                self._propose_members(self._with(learner.replaced(voter=True, promote=False)))
 
     def _ready_learner(self, leadership: Leadership) -> ReplicaMember | None:
         """Return a learner that is to vote and has caught up, or None."""
@@ -137,18 +149,18 @@
                 return member
         return None
 
-    def _remove_silent(self, least: int, seconds: float) -> bool:
+    def _remove_silent(self, min_voters: int, seconds: float) -> bool:
         """Remove a voter that is silent for so long; return whether one was.
 
         A group never shrinks below the voters it is to have only because somebody
         is away: without a learner to take its place the voter stays, and one
         that was removed and comes back joins again.
 
-        :param least: voters there must be for one to be removed.
+        :param min_voters: voters there must be for one to be removed.
         """
         voters = self._replica.members.voters()
         leadership = self._replica.leadership
-        if not self._voters or len(voters) < least or leadership is None:
+        if not self._voters or len(voters) < min_voters or leadership is None:
             return False
         if leadership.age() < seconds:
             # Too new to tell who is silent.
@@ -160,25 +172,22 @@
                 return isinstance(self.remove(member.name), Ok)
         return False
 
+    # Parts.
+
     def _with(self, changed: ReplicaMember) -> list[ReplicaMember]:
         return [
             changed if item.identity == changed.identity else item
             for item in self._replica.members.current
         ]
 
-    def _is_there(self, member: ReplicaMember) -> bool:
+    def _is_alive(self, member: ReplicaMember) -> bool:
         replica = self._replica
         if member.identity == replica.identity:
             return True
         leadership = replica.leadership
         return leadership is not None and leadership.answered_within(member.identity, ALIVE_SECONDS)
 
-    def _would_have_quorum(self, members: list[ReplicaMember]) -> bool:
-        voters = [member for member in members if member.voter]
-        there = sum(self._is_there(member) for member in voters)
-        return bool(voters) and there >= quorum_of(len(voters))
-
-    def _state(self, members: list[ReplicaMember]) -> Result[None, ChangeFailure]:
+    def _propose_members(self, members: list[ReplicaMember]) -> Result[None, ChangeFailure]:
         """Commit a set of members that differs from the present one by one replica."""
         replica = self._replica
         leadership = replica.leadership
@@ -190,3 +199,12 @@
             return Err(ChangeFailure.BUSY)
         done = replica.propose(ReplicaSet(members).pack(), EntryKind.MEMBERS)
         return Err(ChangeFailure.NOT_KNOWN) if isinstance(done, Err) else Ok(None)
+
+
+def keeps_quorum(
+    members: Iterable[ReplicaMember], is_alive: Callable[[ReplicaMember], bool]
+) -> bool:
+    """Return whether a quorum of the voters among these members is alive."""
+    voters = [member for member in members if member.voter]
+    alive = sum(is_alive(member) for member in voters)
+    return bool(voters) and alive >= quorum_of(len(voters))
--- a/src/cranklane/replication/peer_service.py
+++ b/src/cranklane/replication/peer_service.py
@@ -1,4 +1,8 @@
-"""Answers the requests of the other replicas of a group."""
+"""Answers the requests of the other replicas of a group.
+
+Owns the pieces of a snapshot on its way; all else belongs to the replica. Nothing is promised
+before it is on disk.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,9 @@
     VoteReply,
     VoteRequest,
 )
+from cranklane.replication import voting
 from cranklane.replication.replica import Replica
+from cranklane.replication.voting import Voter
 
 
 class PeerService:
@@ -49,7 +55,8 @@
                 _, message = records.receive()
                 records.send(self._answer(message))
         except (ConnectionLostError, MalformedRecordError):
-            pass
+            # The asker opens another connection; who is silent its leader finds out.
+            return
         except OSError as error:
             # The disk refused what would have been promised; the asker gets no answer.
             self._replica.event_log.error("disk_failed", error=str(error))
@@ -71,7 +78,7 @@
         raise MalformedRecordError(f"{type(message).__name__} from a replica")
 
     def _confirm(self, request: ConfirmRequest) -> ConfirmReply:
-        """Tell whether this replica leads for certain, and what is committed then."""
+        """Answer whether this replica leads for certain, and what is committed then."""
         replica = self._replica
         leads = request.term <= replica.term and replica.may_read
         return ConfirmReply(replica.term, leads, replica.commit_index)
@@ -79,35 +86,27 @@
     def _vote(self, request: VoteRequest) -> VoteReply:
         replica = self._replica
         with replica.changing:
-            if replica.is_leader or (
-                replica.election.is_timer_fresh() and not self._gave_up_its_lease(request)
-            ):
-                # A leader is there: whoever asks has lost touch with it, and its
-                # lease must hold.
+            if voting.may_support_a_lease(self._voter(), request):
                 return VoteReply(replica.term, False)
-            own = (replica.log.last_term, replica.log.last_index)
-            up_to_date = (request.last_term, request.last_index) >= own
             if request.trial:
-                return VoteReply(replica.term, request.term >= replica.term and up_to_date)
+                return VoteReply(replica.term, voting.grants_trial(self._voter(), request))
             replica.take_term(request.term)
-            free = replica.votes.state.voted_for in (0, request.candidate)
-            granted = request.term == replica.term and free and up_to_date
+            granted = voting.grants(self._voter(), request)
             if granted:
                 replica.votes.save(replica.term, request.candidate)
                 replica.election.restart_timer()
             return VoteReply(replica.term, granted)
 
-    def _gave_up_its_lease(self, request: VoteRequest) -> bool:
-        """Return whether the only lease that this replica may support is over.
-
-        Answers to a leader are what its lease rests on. Those of this replica, also
-        before it was restarted, went to the leader of its newest term, whom the vote
-        file names, and to earlier leaders, whose leases ran out before that one was
-        elected. When that leader stands again, as after a restart, it has none; nor
-        has it when its disk is lost, since its process has ended then.
-        """
-        last_leader = self._replica.votes.state.voted_for
-        return last_leader != 0 and last_leader in (request.candidate, request.lost)
+    def _voter(self) -> Voter:
+        replica = self._replica
+        return Voter(
+            term=replica.term,
+            voted_for=replica.votes.state.voted_for,
+            last_term=replica.log.last_term,
+            last_index=replica.log.last_index,
+            leads=replica.is_leader,
+            timer_fresh=replica.election.is_timer_fresh(),
+        )
 
     def _append(self, request: AppendRequest) -> AppendReply:
         replica = self._replica
--- a/src/cranklane/replication/self_assembly.py
+++ b/src/cranklane/replication/self_assembly.py
@@ -2,8 +2,11 @@
 
 All start from the same few seed addresses. One of the seeds, the same for all,
 founds the group on the first start of the whole system; every other replica asks
-to join. A replica that hears of no leader for a while asks again: it may have
+to join. A replica without a leader for a while asks again: it may have
 been replaced while it was away.
+
+Owns only when the replica was last in touch with a leader; relies on the membership changes
+of the replicas that are asked.
 """
 
 from __future__ import annotations
@@ -12,16 +15,19 @@
 
 import gevent
 
-from cranklane.records.messages import JoinReply, JoinRequest
-from cranklane.replication.link import ReplicaLink
+from cranklane.replication.join_request import ask_to_join
 from cranklane.replication.membership_change import JoinStatus
 from cranklane.replication.replica import Replica
 
 RETRY_SECONDS = 0.25
+"""Mean time between rounds over all addresses, spread by half on either side. A choice."""
+
 REPLY_SECONDS = 2.0
+"""Wait for an answer. A choice: a machine without power does not hold up a round for long."""
 
 OUT_OF_TOUCH_SECONDS = 2.5
-"""Seconds without a leader after which a replica asks whether it still belongs."""
+"""Time without a leader after which a replica asks whether it still belongs. A choice: above
+the longest election timeout (2 s), so that an ordinary election asks nobody."""
 
 
 class SelfAssembly:
@@ -42,7 +48,7 @@
     def run(self) -> None:
         """Keep the replica in its group, for ever."""
         replica = self._replica
-        if self._founds():
+        if self._is_founder():
             replica.found_group()
             replica.event_log.info("group_founded", group=replica.own.group)
         while True:
@@ -50,7 +56,7 @@
                 self._ask_all()
             gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
 
-    def _founds(self) -> bool:
+    def _is_founder(self) -> bool:
         """Return whether this replica founds the group.
 
         On a first start every disk is empty and all have the same seeds, so
@@ -62,6 +68,7 @@
         return self._first_start and empty and bool(seeds) and min(seeds) == replica.own.address
 
     def _belongs(self) -> bool:
+        """Return whether it is a member that was in touch with a leader lately."""
         replica = self._replica
         now = replica.runtime.monotonic()
         if replica.in_touch:
@@ -69,6 +76,7 @@
         return replica.is_member and now - self._in_touch_at < OUT_OF_TOUCH_SECONDS
 
     def _ask_all(self) -> None:
+        """Ask each known address once, in random order, until one accepts this replica."""
         replica = self._replica
         known = [member.address for member in replica.members.current]
         addresses = list(dict.fromkeys([*known, *self._seeds()]))
@@ -80,7 +88,7 @@
             if address in asked:
                 continue
             asked.add(address)
-            reply = self._ask(address)
+            reply = ask_to_join(replica, address, voter=True, timeout=REPLY_SECONDS)
             if reply is None:
                 continue
             if reply.status == JoinStatus.NOT_LEADER and reply.leader:
@@ -88,13 +96,3 @@
             elif reply.status == JoinStatus.ACCEPTED:
                 self._in_touch_at = replica.runtime.monotonic()
                 return
-
-    def _ask(self, address: str) -> JoinReply | None:
-        replica = self._replica
-        own = replica.own
-        link = ReplicaLink(replica.runtime, address, replica.hello())
-        request = JoinRequest(replica.identity, True, own.name, own.address, own.http)
-        try:
-            return link.call(request, JoinReply, REPLY_SECONDS)
-        finally:
-            link.close()
--- a/tests/test_compilation.py
+++ b/tests/test_compilation.py
@@ -75,6 +75,6 @@
     compiler = DocumentCompiler(store)
     for tenant in range(TENANTS):
         put(store, compiler, tenant_name(tenant), tenant_document(tenant))
-    keys = {row.key for row in store.rows_since(0)}
+    keys = {row.key for row in store.delta(0).rows}
     assert f"service/{tenant_name(TENANTS - 1)}/{service_name(9)}" in keys
     assert sum(key.startswith("service/") for key in keys) == 410
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -24,10 +24,10 @@
 from cranklane.controller.row_changes import RowChanges
 from cranklane.distribution.publisher import _NewestFrames
 from cranklane.outcome import Outcome
+from cranklane.replication import voting
 from cranklane.replication.election import Election
 from cranklane.replication.log import Log
 from cranklane.replication.membership_change import MembershipChange
-from cranklane.replication.peer_service import PeerService
 from cranklane.routes.splitter import Splitter
 from cranklane.sidecar.admission.outcome_limiter import OutcomeLimiter
 from cranklane.sidecar.ingress.disconnect import DisconnectWatch
@@ -234,9 +234,9 @@
         test_call_tree.test_what_a_repeated_run_calls_is_not_repeated_again,
     ),
     "early vote for the former leader": (
-        PeerService,
-        "_gave_up_its_lease",
-        lambda self, request: False,
+        voting,
+        "may_support_a_lease",
+        lambda voter, request: voter.leads or voter.timer_fresh,
         lambda: test_controllers.test_after_all_were_killed_the_former_leader_leads_at_once(
             1, True
         ),
--- /dev/null
+++ b/tests/test_replication_rules.py
@@ -0,0 +1,119 @@
+"""The rules of elections, leases and membership changes, each as a table."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from random import Random
+
+import pytest
+
+from cranklane.records.messages import ReplicaMember, VoteRequest
+from cranklane.replication import applier, membership_change, self_assembly, timing, voting
+from cranklane.replication.members import quorum_of
+from cranklane.replication.proposals import PROPOSAL_SECONDS
+from cranklane.replication.voting import Voter
+
+VOTER = Voter(term=5, voted_for=0, last_term=4, last_index=9, leads=False, timer_fresh=False)
+REQUEST = VoteRequest(term=6, candidate=2, last_index=9, last_term=4, trial=False, lost=0)
+
+
+@pytest.mark.parametrize(
+    ("voter", "request_", "supports"),
+    [
+        (VOTER, REQUEST, False),
+        (replace(VOTER, leads=True), REQUEST, True),
+        (replace(VOTER, timer_fresh=True), REQUEST, True),
+        (replace(VOTER, timer_fresh=True, voted_for=3), REQUEST, True),
+        # The former leader asks itself: it was restarted and has no lease.
+        (replace(VOTER, timer_fresh=True, voted_for=2), REQUEST, False),
+        # The former leader's disk is lost, so its process has ended.
+        (replace(VOTER, timer_fresh=True, voted_for=3), REQUEST.replaced(lost=3), False),
+        (replace(VOTER, timer_fresh=True, voted_for=4), REQUEST.replaced(lost=3), True),
+        # A leader knows that it has its lease, whoever else asks.
+        (replace(VOTER, leads=True, voted_for=2), REQUEST, True),
+    ],
+)
+def test_a_voter_that_may_support_a_lease_refuses_others(voter, request_, supports):
+    assert voting.may_support_a_lease(voter, request_) is supports
+
+
+@pytest.mark.parametrize(
+    ("last_term", "last_index", "up_to_date"),
+    [(4, 9, True), (4, 10, True), (5, 1, True), (4, 8, False), (3, 99, False)],
+)
+def test_a_candidate_needs_a_log_as_new_as_the_voters(last_term, last_index, up_to_date):
+    request = REQUEST.replaced(last_term=last_term, last_index=last_index)
+    assert voting.is_up_to_date(VOTER, request) is up_to_date
+    assert voting.grants_trial(VOTER, request) is up_to_date
+    assert voting.grants(replace(VOTER, term=6), request) is up_to_date
+
+
+@pytest.mark.parametrize(("term", "granted"), [(4, False), (5, True), (6, True)])
+def test_a_trial_vote_needs_a_term_that_is_not_older(term, granted):
+    assert voting.grants_trial(VOTER, REQUEST.replaced(term=term)) is granted
+
+
+@pytest.mark.parametrize(
+    ("term", "voted_for", "granted"),
+    [(6, 0, True), (6, 2, True), (6, 3, False), (5, 0, False), (7, 0, False)],
+)
+def test_a_vote_is_given_once_a_term(term, voted_for, granted):
+    assert voting.grants(replace(VOTER, term=term, voted_for=voted_for), REQUEST) is granted
+
+
+def test_a_lease_ends_before_an_election_with_clocks_that_differ_by_a_half():
+    assert timing.LEASE_SECONDS * 1.5 < timing.ELECTION_SECONDS
+    assert timing.HEARTBEAT_SECONDS * 3 <= timing.LEASE_SECONDS + 1e-9
+    assert timing.REPLY_SECONDS < timing.ELECTION_SECONDS
+    assert timing.VOTE_SECONDS < timing.ELECTION_SECONDS
+
+
+def test_election_timeouts_are_spread_over_once_to_twice_the_shortest():
+    random = Random(1)
+    timeouts = [timing.election_timeout(random) for _ in range(1000)]
+    assert timing.ELECTION_SECONDS <= min(timeouts) < 1.05 * timing.ELECTION_SECONDS
+    assert 1.95 * timing.ELECTION_SECONDS < max(timeouts) <= 2 * timing.ELECTION_SECONDS
+
+
+def test_waits_stand_in_the_order_that_their_reasons_give():
+    assert self_assembly.OUT_OF_TOUCH_SECONDS > 2 * timing.ELECTION_SECONDS
+    assert timing.DISK_PAUSE_SECONDS >= 4 * timing.ELECTION_SECONDS
+    assert PROPOSAL_SECONDS > 2 * timing.ELECTION_SECONDS
+    assert membership_change.SILENT_VOTER_SECONDS > timing.REPLY_SECONDS
+    assert membership_change.SURPLUS_SILENT_SECONDS > membership_change.SILENT_VOTER_SECONDS
+
+
+@pytest.mark.parametrize(
+    ("voters", "learners", "alive", "keeps"),
+    [
+        ((1, 2), (), {1, 2}, True),
+        ((1, 2), (), {1}, False),
+        ((1, 2, 3), (), {1, 3}, True),
+        ((1, 2, 3), (4,), {1, 4}, False),
+        ((1, 2, 3, 4), (), {1, 2}, False),
+        ((1,), (), {1}, True),
+        ((), (4,), {4}, False),
+    ],
+)
+def test_a_removal_must_leave_a_quorum_that_is_alive(voters, learners, alive, keeps):
+    members = [ReplicaMember(identity, True) for identity in voters]
+    members += [ReplicaMember(identity, False) for identity in learners]
+    assert membership_change.keeps_quorum(members, lambda item: item.identity in alive) is keeps
+
+
+def test_two_quorums_of_neighbouring_sets_share_a_voter():
+    for voters in range(1, 10):
+        assert 2 * quorum_of(voters) > voters
+        assert quorum_of(voters) + quorum_of(voters + 1) > voters + 1
+
+
+@pytest.mark.parametrize(
+    ("snapshot_bytes", "threshold"),
+    [
+        (0, applier.MIN_SNAPSHOT_BYTES),
+        (applier.MIN_SNAPSHOT_BYTES // 2, applier.MIN_SNAPSHOT_BYTES),
+        (applier.MIN_SNAPSHOT_BYTES, 2 * applier.MIN_SNAPSHOT_BYTES),
+    ],
+)
+def test_the_log_grows_with_the_snapshot_before_the_next_one(snapshot_bytes, threshold):
+    assert applier.snapshot_threshold(snapshot_bytes) == threshold
