--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -1,10 +1,14 @@
-"""A ledger process: one replica of one ledger group."""
+"""A ledger process: one replica of one ledger group.
+
+Owns the parts and the order in which they start and stop.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 from cranklane.common.logs import logger
+from cranklane.common.units import MILLISECONDS
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.subscription import Subscription
 from cranklane.ledger.service import LedgerService
@@ -30,7 +34,8 @@
 )
 
 SILENT_SECONDS = 10.0
-"""Seconds without a byte after which a node or replica counts as lost."""
+"""Seconds without a byte after which a node or replica counts as lost. A choice: longer than a
+node keeps an idle connection."""
 
 _SUBSCRIPTION_FOLDER = "subscription"
 
@@ -61,7 +66,7 @@
         self.runtime = runtime
         self.settings = settings
         self._log = logger(process="ledger", node=settings.name)
-        self.incarnation = int(runtime.wall() * 1000)
+        self.incarnation = int(runtime.wall() * MILLISECONDS)
         self.store = LedgerStore()
         self.replica = Replica(
             runtime,
@@ -77,7 +82,7 @@
         self._port = ReplicaPort(peers, self._hello, self.service.serve, SILENT_SECONDS)
 
     def start(self) -> None:
-        """Come back to the last state, open the port, find the group and control."""
+        """Restore the last state, open the port, find the group and control."""
         settings = self.settings
         self.replica.open()
         self._listener = self.runtime.listen(parse_address(settings.listen), self._port.accept)
--- a/src/cranklane/ledger/service.py
+++ b/src/cranklane/ledger/service.py
@@ -1,4 +1,8 @@
-"""Answers nodes' requests to a ledger group; the leader commits many at once."""
+"""Answers nodes' requests to a ledger group; the leader commits many at once.
+
+Owns the requests whose answers are owed. Relies on the replica to commit batches and on
+:mod:`~cranklane.ledger.store` for what they decide.
+"""
 
 from __future__ import annotations
 
@@ -23,10 +27,12 @@
 from cranklane.runtime.interface import Runtime
 
 COMMITTERS = 2
-"""Batches under way at once; requests that come meanwhile make the next one."""
+"""Batches under way at once; requests that come meanwhile make the next one. A choice: one is
+written while the other is gathered."""
 
 MAX_BATCH = 512
-"""Most requests of one batch."""
+"""Requests of one batch at most. A choice: it bounds the time of one commit, and a
+burst is committed in few batches."""
 
 
 @dataclass(frozen=True)
@@ -42,6 +48,7 @@
         try:
             self.records.send(message, self.call)
         except ConnectionLostError:
+            # The node asks again with the same attempt number and gets the same answer.
             pass
 
 
@@ -63,6 +70,7 @@
                 call, message = records.receive()
                 self._take(records, call, message)
         except (ConnectionLostError, MalformedRecordError):
+            # The node connects again; what it has asked is committed all the same.
             pass
         finally:
             records.close()
--- a/src/cranklane/ledger/store.py
+++ b/src/cranklane/ledger/store.py
@@ -1,4 +1,4 @@
-"""The entries of one ledger group.
+"""Decides which attempt of a once-call may run: the entries of one ledger group.
 
 An entry belongs to a tenant's service and an idempotency key. It is created as
 started before the first byte of the call goes to a worker, and only the attempt
@@ -12,6 +12,7 @@
 from enum import IntEnum
 from struct import Struct
 
+from cranklane.common.units import MILLISECONDS
 from cranklane.outcome import Outcome
 from cranklane.records.messages import (
     LedgerBatch,
@@ -24,12 +25,14 @@
 )
 
 RETENTION_SECONDS = 86_400.0
-"""Seconds that an entry is kept: a resend within a day never runs again."""
+"""Seconds that an entry is kept. A choice: a resend within a day never runs again."""
 
 MAX_STORED_BODY = 16 * 1024
-"""Largest body that is stored with an answer, in bytes."""
+"""Largest body that is stored with an answer, in bytes. A choice: bounds the memory of an entry;
+after a longer answer, a resend gets an unknown outcome."""
 
 _NAME_BYTES = 16
+"""Bytes of an entry's name. A choice: 128 bits, at which two names never meet by accident."""
 _ENTRY_HEAD = Struct(f"!{_NAME_BYTES}sI")
 """Before each entry of a packed state: its name and its length."""
 
@@ -111,7 +114,7 @@
         return LedgerGrant(LedgerDecision.UNKNOWN)
 
     def _started(self, request: LedgerBegin) -> LedgerEntry:
-        running = (request.lease_ms + request.run_ms) / 1000
+        running = (request.lease_ms + request.run_ms) / MILLISECONDS
         return LedgerEntry(
             attempt=request.attempt,
             started=self.now,
--- a/src/cranklane/node/admission.py
+++ b/src/cranklane/node/admission.py
@@ -1,4 +1,10 @@
-"""Decides which calls the worker gets, which wait, and which are refused."""
+"""Admits calls to the worker: each gets a slot, waits for one, or is refused.
+
+Owns the exact count of calls in the worker and the queue before it. Relies on
+:mod:`~cranklane.node.admission_rule` for the decisions, on
+:mod:`~cranklane.node.fair_queue` for the order of those that wait, and on
+:mod:`~cranklane.node.concurrency` for how many run at once.
+"""
 
 from __future__ import annotations
 
@@ -10,23 +16,34 @@
 from gevent.event import AsyncResult
 from result import Err, Ok, Result
 
+from cranklane.node.admission_rule import (
+    MIN_RETRY_AFTER_MS,
+    expected_wait,
+    is_overloaded,
+    refusal_at_once,
+    retry_after_ms,
+)
 from cranklane.node.concurrency import ConcurrencyLimit
 from cranklane.node.fair_queue import FairQueue, Waiting
+from cranklane.node.refusal_memory import RefusalMemory
 from cranklane.outcome import Criticality, Reason
 
-OVERLOADED_AFTER = 0.2
-"""Seconds without an empty queue after which the newest call goes first."""
+DEFAULT_SLOTS = 8
+"""Calls that run at once before the first configuration. A choice: a small worker's."""
 
-REFUSAL_MEMORY = 1.0
-"""Seconds a refusal is told to callers, so that they refuse early."""
+DEFAULT_QUEUE_SIZE = 64
+"""Calls that may wait before the first configuration. A choice: eight for each slot."""
 
-MIN_RETRY_AFTER_MS = 50
-MAX_RETRY_AFTER_MS = 10_000
+OnWait = Callable[[Callable[[Reason], Any]], Any]
+"""Takes a function that withdraws the call while it waits, for the reason given to it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a call does not run, and when to come back."""
+    """Why a call does not run.
+
+    :ivar retry_after_ms: milliseconds after which it may come back; 0 states none.
+    """
 
     reason: Reason
     retry_after_ms: int = 0
@@ -34,7 +51,10 @@
 
 @dataclass(slots=True, eq=False)
 class Slot:
-    """One of the worker's slots, held for a call until released."""
+    """One of the worker's slots, taken by a call until released.
+
+    :ivar since: monotonic second at which it was taken.
+    """
 
     tenant: str
     criticality: Criticality
@@ -45,9 +65,8 @@
     """Exact count of calls in the worker, and the queue before it.
 
     :param clock: monotonic seconds.
-    :param share_of: a tenant's weight.
-    :param slots: the worker's stated concurrency.
-    :param queue_size: most calls that may wait.
+    :param share_of: returns a tenant's weight against others.
+    :ivar in_flight: calls in the worker.
     :ivar draining: when True every new call is refused.
     """
 
@@ -55,17 +74,15 @@
         self,
         clock: Callable[[], float],
         share_of: Callable[[str], int],
-        slots: int = 8,
-        queue_size: int = 64,
     ) -> None:
         self._clock = clock
         self._share_of = share_of
         self._queue = FairQueue(share_of)
-        self._queue_size = queue_size
+        self._queue_size = DEFAULT_QUEUE_SIZE
         self._in_flight: dict[str, int] = {}
         self._last_empty = clock()
-        self._refused: dict[tuple[str, Criticality], float] = {}
-        self.concurrency = ConcurrencyLimit(slots)
+        self._refusals = RefusalMemory(clock)
+        self.concurrency = ConcurrencyLimit(DEFAULT_SLOTS)
         self.in_flight = 0
         self.draining = False
 
@@ -84,52 +101,56 @@
         """Return the seconds a new call would wait, of any tenant."""
         if self.in_flight < self.concurrency.limit:
             return 0.0
-        turn = self.concurrency.service_time / self.concurrency.limit
-        return (self._queue.size + 1) * turn
+        return expected_wait(
+            self._queue.size, self.concurrency.service_time, self.concurrency.limit
+        )
 
     def admit(
         self,
         tenant: str,
         criticality: Criticality,
         deadline: float,
-        on_wait: Callable[[Callable[[Reason], Any]], Any] | None = None,
+        on_wait: OnWait | None = None,
     ) -> Result[Slot, Refusal]:
-        """Return a slot, waiting for one if need be, or a refusal at once.
+        """Return a slot, waiting for one if need be, or a refusal.
 
         :param deadline: monotonic second after which nobody waits.
-        :param on_wait: given a function that withdraws the call while it waits.
+        :param on_wait: called once the call waits.
         """
         now = self._clock()
-        if self.draining:
-            return Err(Refusal(Reason.DRAINING, MIN_RETRY_AFTER_MS))
-        if deadline <= now:
-            return Err(Refusal(Reason.DEADLINE_PASSED))
-        if self.in_flight < self.concurrency.limit and not self._queue.size:
+        free = self.in_flight < self.concurrency.limit and not self._queue.size
+        wait = None if free else self._wait_for(tenant, criticality)
+        reason = refusal_at_once(self.draining, deadline - now, wait, self.concurrency.likely_time)
+        if reason is Reason.DRAINING:
+            return Err(Refusal(reason, MIN_RETRY_AFTER_MS))
+        if reason is Reason.DEADLINE_PASSED:
+            return Err(Refusal(reason))
+        if reason is not None:
+            return Err(self._refuse(tenant, criticality, reason))
+        if free:
             self._last_empty = now
             return Ok(self._occupy(tenant, criticality))
-        if self._wait_for(tenant, criticality) + self.concurrency.likely_time > deadline - now:
-            return Err(self._refuse(tenant, criticality, Reason.DEADLINE_TOO_NEAR))
         return self._wait(tenant, criticality, deadline, on_wait)
 
     def _wait_for(self, tenant: str, criticality: Criticality) -> float:
-        """Return the seconds a newcomer waits, given its tenant's share of the slots."""
+        """Return the seconds a new call waits, given its tenant's share of the slots."""
         others = [name for name in self._queue.tenants() if name != tenant]
         own = self._share_of(tenant)
         total = own + sum(self._share_of(name) for name in others)
         slots = max(1.0, self.concurrency.limit * own / total)
         ahead = self._queue.ahead_of(tenant, criticality)
-        return (ahead + 1) * self.concurrency.service_time / slots
+        return expected_wait(ahead, self.concurrency.service_time, slots)
 
     def _wait(
         self,
         tenant: str,
         criticality: Criticality,
         deadline: float,
-        on_wait: Callable[[Callable[[Reason], Any]], Any] | None,
+        on_wait: OnWait | None,
     ) -> Result[Slot, Refusal]:
         settled: AsyncResult = AsyncResult()
         call = Waiting(tenant, criticality, deadline, self._clock(), settled.set)
-        if self._queue.size >= self._queue_size and not self._make_room(call):
+        if self._queue.size >= self._queue_size and not self._evict_for(call):
             return Err(self._refuse(tenant, criticality, Reason.QUEUE_FULL))
         self._queue.add(call)
         if on_wait is not None:
@@ -145,7 +166,7 @@
             return Ok(Slot(tenant, criticality, self._clock()))
         return Err(self._refuse(tenant, criticality, reason))
 
-    def _make_room(self, newcomer: Waiting) -> bool:
+    def _evict_for(self, newcomer: Waiting) -> bool:
         victim = self._queue.victim(newcomer, self._in_flight)
         if victim is None:
             return False
@@ -159,19 +180,12 @@
 
     def _refuse(self, tenant: str, criticality: Criticality, reason: Reason) -> Refusal:
         if reason is not Reason.CANCELLED:
-            self._refused[tenant, criticality] = self._clock()
-        wait_ms = int(self._wait_for(tenant, criticality) * 1000)
-        return Refusal(reason, min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, wait_ms)))
+            self._refusals.refused(tenant, criticality)
+        return Refusal(reason, retry_after_ms(self._wait_for(tenant, criticality)))
 
     def refused_below(self, tenant: str) -> int:
         """Return one more than the highest criticality refused lately, or 0."""
-        oldest = self._clock() - REFUSAL_MEMORY
-        levels = [
-            level + 1
-            for level in Criticality
-            if self._refused.get((tenant, level), oldest) > oldest
-        ]
-        return max(levels, default=0)
+        return self._refusals.refused_below(tenant)
 
     def _occupy(self, tenant: str, criticality: Criticality) -> Slot:
         self._count(tenant)
@@ -187,9 +201,9 @@
         :param ran: whether the worker ran the call, so that its time counts.
         """
         self.in_flight -= 1
-        held = self._in_flight[slot.tenant] - 1
-        if held:
-            self._in_flight[slot.tenant] = held
+        left = self._in_flight[slot.tenant] - 1
+        if left:
+            self._in_flight[slot.tenant] = left
         else:
             del self._in_flight[slot.tenant]
         if ran:
@@ -201,8 +215,8 @@
         if not self._queue.size:
             self._last_empty = now
         while self.in_flight < self.concurrency.limit:
-            overloaded = now - self._last_empty > OVERLOADED_AFTER
-            call = self._queue.take(self._in_flight, overloaded)
+            newest_first = is_overloaded(now, self._last_empty)
+            call = self._queue.take(self._in_flight, newest_first)
             if call is None:
                 return
             if call.deadline <= now + self.concurrency.likely_time:
--- a/src/cranklane/node/allowance.py
+++ b/src/cranklane/node/allowance.py
@@ -1,14 +1,14 @@
-"""The retries one root request may cause, shared out over its call tree."""
+"""Bounds the retries that one root request causes, over its whole call tree."""
 
 from __future__ import annotations
 
 
 class Allowance:
-    """A share of the root request's retries, held for one call.
+    """One call's share of the root request's retries.
 
     The sum over the whole tree never grows: a retry spends from it, a child call
-    takes part of it, and what a child did not use comes back with its answer. A
-    part whose answer is lost stays spent.
+    takes some of it, and what the child did not use is returned with its answer. What
+    was given to a child whose answer is lost stays spent.
 
     :ivar remaining: retries this call and its future children may still cause.
 
--- a/src/cranklane/node/context.py
+++ b/src/cranklane/node/context.py
@@ -1,4 +1,4 @@
-"""What a call carries down its tree, kept by the node while its worker runs it."""
+"""What a call's child calls inherit, kept by the node while its worker runs the call."""
 
 from __future__ import annotations
 
@@ -10,9 +10,11 @@
 from cranklane.outcome import Criticality, Reason
 
 MAX_DEPTH = 32
-"""Deepest call tree; a loop in the call graph ends here."""
+"""Deepest call tree; a loop in the call graph ends here. A choice: more than twice the depth of
+14 that is designed for."""
 
 _TOKEN_BITS = 128
+"""Random bits of a context token. A choice: it cannot be guessed."""
 
 
 @dataclass(slots=True, eq=False)
@@ -25,7 +27,7 @@
     :ivar depth: calls between the root request and this one.
     :ivar token: unguessable name that the worker copies into its child calls.
     :ivar cancelled: why nobody waits any more, or None.
-    :ivar failed: child calls that failed, so that a repeat counts as a retry.
+    :ivar failed: child calls that failed, so that another try of one counts as a retry.
     """
 
     root: int
@@ -81,5 +83,5 @@
         return self._contexts.get(token)
 
     def remove(self, context: CallContext) -> None:
-        """Forget a context; its token is worth nothing from here on."""
+        """Forget a context; its token is not valid any more."""
         self._contexts.pop(context.token, None)
--- a/src/cranklane/node/fair_queue.py
+++ b/src/cranklane/node/fair_queue.py
@@ -1,7 +1,7 @@
 """The queue of calls that wait for one of the worker's slots.
 
 Tenants share the slots by weighted max-min: the next slot goes to the waiting
-tenant that holds the fewest slots for its share. Within a tenant the higher
+tenant that has the fewest slots for its share. Within a tenant the higher
 criticality goes first, and within that the oldest call, or the newest once the
 queue is overloaded: an old call has little time left and would be wasted work.
 """
@@ -42,6 +42,7 @@
     """Waiting calls by tenant and criticality.
 
     :param share_of: returns a tenant's weight.
+    :ivar size: calls that wait.
     """
 
     def __init__(self, share_of: Callable[[str], int]) -> None:
@@ -70,7 +71,8 @@
     def take(self, in_flight: dict[str, int], newest_first: bool) -> Waiting | None:
         """Remove and return the call that gets the next slot.
 
-        :param in_flight: slots held now, by tenant.
+        :param in_flight: slots taken now, by tenant.
+        :param newest_first: whether the newest of equally critical calls goes first.
         """
         if not self._tenants:
             return None
@@ -93,15 +95,7 @@
         criticality gives way.
         """
 
-        def load(name: str) -> float:
-            waiting = self._tenants[name].size if name in self._tenants else 0
-            waiting += 1 if name == newcomer.tenant else 0
-            return (waiting + in_flight.get(name, 0)) / self._share_of(name)
-
-        names = {*self._tenants, newcomer.tenant}
-        heaviest = max(sorted(names), key=load)
-        if load(heaviest) <= load(newcomer.tenant):
-            heaviest = newcomer.tenant
+        heaviest = self._heaviest(newcomer.tenant, in_flight)
         queue = self._tenants.get(heaviest)
         if queue is None:
             return None
@@ -112,6 +106,17 @@
                 return next(iter(queue.levels[level].values()))
         return None
 
+    def _heaviest(self, newcomer: str, in_flight: dict[str, int]) -> str:
+        """Return the tenant that has the most calls for its share; of equals the newcomer's."""
+
+        def load(name: str) -> float:
+            waiting = self._tenants[name].size if name in self._tenants else 0
+            waiting += 1 if name == newcomer else 0
+            return (waiting + in_flight.get(name, 0)) / self._share_of(name)
+
+        heaviest = max(sorted({*self._tenants, newcomer}), key=load)
+        return heaviest if load(heaviest) > load(newcomer) else newcomer
+
     def ahead_of(self, tenant: str, criticality: Criticality) -> int:
         """Return how many calls of the tenant go before a newcomer's."""
         queue = self._tenants.get(tenant)
--- a/src/cranklane/node/inbound_call.py
+++ b/src/cranklane/node/inbound_call.py
@@ -11,7 +11,8 @@
 from cranklane.records.messages import CallOpen, Message
 
 CREDIT_SECONDS = 30.0
-"""Seconds a caller may leave a full window before its answer is cut."""
+"""Seconds a caller may leave its window used up before its answer is cut. A choice: as long as
+a caller waits for the next piece of an answer."""
 
 
 class InboundCall:
@@ -48,7 +49,7 @@
         self._records.flush()
 
     def credit(self, size: int) -> None:
-        """Let the answer go on by ``size`` bytes."""
+        """Let ``size`` more bytes of the answer be sent."""
         self._window += size
         self._credited.set()
 
--- a/src/cranklane/node/ledger_client.py
+++ b/src/cranklane/node/ledger_client.py
@@ -26,12 +26,18 @@
 from cranklane.runtime.interface import Address, Runtime, format_address, parse_address
 
 TRY_SECONDS = 0.5
-"""Seconds that one replica has to answer."""
+"""Seconds that one replica has to answer. A choice: a third of the time a once-call waits."""
 
 ROUND_PAUSE_SECONDS = 0.1
+"""Seconds between rounds over all replicas while none of them leads. A choice: short beside
+an election."""
+
 CONNECT_SECONDS = 0.3
+"""Seconds a replica has to take a connection. A choice: below the time it has to answer."""
+
 IDLE_SECONDS = 9.0
-"""Seconds without a record after which a connection is closed."""
+"""Seconds without a record after which a connection is closed. A choice: just before the
+ledger closes it (cranklane.ledger.process.SILENT_SECONDS)."""
 
 
 @dataclass(frozen=True)
@@ -106,7 +112,7 @@
         return Err(LedgerFailure(not_run))
 
     def finish(self, group: str, request: LedgerFinish, seconds: float) -> LedgerDone | None:
-        """Store how a once-call ended; return the ledger's word, or None without one."""
+        """Store how a once-call ended; return the ledger's answer, or None without one."""
         reply, _ = self._ask_group(group, request, seconds)
         return reply if isinstance(reply, LedgerDone) else None
 
@@ -137,7 +143,7 @@
             gevent.sleep(ROUND_PAUSE_SECONDS)
 
     def _follow_hint(self, group: str, address: str, reply: LedgerUnavailable) -> bool:
-        """Remember whom a replica takes for the leader; return whether it names one."""
+        """Remember which leader a replica names; return whether it names another one."""
         if reply.leader and reply.leader != address:
             self._leaders[group] = reply.leader
             return True
--- a/src/cranklane/node/metrics.py
+++ b/src/cranklane/node/metrics.py
@@ -1,4 +1,9 @@
-"""Counters and histograms of one node, in the Prometheus text format."""
+"""Counters and histograms of one node, in the Prometheus text format.
+
+The node counts with the library's own counters. The sidecar
+(:mod:`~cranklane.sidecar.telemetry.metrics`) counts by plain additions and makes the
+library's families only when asked, since it counts far more often.
+"""
 
 from __future__ import annotations
 
@@ -7,10 +12,12 @@
 from cranklane.outcome import Criticality, Outcome, Reason
 
 _SECONDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
+"""Bounds of the histograms' buckets, in seconds. A choice: three for each power of ten, from
+the time that a node adds to the longest deadlines."""
 
 
 class NodeMetrics:
-    """What one node counts; each process has a registry of its own."""
+    """The counters of one node; each process has a registry of its own."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
--- a/src/cranklane/node/once.py
+++ b/src/cranklane/node/once.py
@@ -1,4 +1,8 @@
-"""Runs calls of once-routes under the ledger, so that each runs at most once."""
+"""Runs calls of once-routes under the ledger, so that each runs at most once.
+
+Owns the answers that the ledger has not taken yet. Relies on
+:mod:`~cranklane.node.ledger_client` to reach the ledger, which decides who may run.
+"""
 
 from __future__ import annotations
 
@@ -10,6 +14,7 @@
 import gevent
 from result import Err, Ok, Result
 
+from cranklane.common.units import MILLISECONDS
 from cranklane.ledger.store import MAX_STORED_BODY, LedgerDecision
 from cranklane.node.ledger_client import LedgerClient
 from cranklane.outcome import Outcome, Reason
@@ -17,16 +22,26 @@
 from cranklane.runtime.interface import Runtime
 
 BEGIN_SECONDS = 1.5
-"""Most seconds a once-call waits for the ledger's word."""
+"""Seconds a once-call waits for the ledger at most. A choice: longer than the
+election of a new leader."""
 
 LEASE_SECONDS = 3.0
-"""Seconds from asking the ledger until the first byte must have gone to the
-worker; a node that was frozen in between does not run the call any more."""
+"""Seconds from asking the ledger until the first byte must have gone to the worker. A node
+that was frozen in between does not run the call any more. A choice: twice BEGIN_SECONDS."""
 
 FINISH_SECONDS = 10.0
+"""Seconds for which storing an outcome is tried. A choice: longer than an election; after it
+the entry reads as unknown, which is safe."""
+
 FINISH_PAUSE_SECONDS = 0.5
+"""Seconds between these tries. A choice."""
+
 RETRY_AFTER_MS = 1000
+"""Milliseconds after which a once-call may come back, when the ledger does not answer or
+another attempt is running. A choice: by then the ledger has a leader again."""
+
 _ATTEMPT_BITS = 64
+"""Random bits of an attempt's number: what its field in the record takes."""
 
 
 @dataclass(frozen=True)
@@ -67,7 +82,7 @@
         headers: list[tuple[str, str]] | None = None,
         body: bytes = b"",
     ) -> None:
-        """Store how the call ended; the first word counts. Does not wait."""
+        """Store how the call ended, without waiting; only the first outcome counts."""
         if self._finished:
             return
         self._finished = True
@@ -90,7 +105,7 @@
 class OnceCalls:
     """The once-calls of one node.
 
-    :ivar storing: ends that the ledger has not taken yet.
+    :ivar storing: outcomes that the ledger has not taken yet.
     """
 
     def __init__(self, runtime: Runtime, client: LedgerClient) -> None:
@@ -118,8 +133,8 @@
         )
         request = LedgerBegin(
             attempt=ticket.attempt,
-            lease_ms=int(LEASE_SECONDS * 1000),
-            run_ms=int(remaining * 1000),
+            lease_ms=int(LEASE_SECONDS * MILLISECONDS),
+            run_ms=int(remaining * MILLISECONDS),
             digest=request_digest(message),
             tenant=message.tenant,
             service=message.service,
@@ -139,7 +154,7 @@
         return OnceRefusal(Outcome.UNKNOWN, Reason.LEDGER_UNAVAILABLE, RETRY_AFTER_MS)
 
     def store(self, group: str, request: LedgerFinish) -> None:
-        """Store an end, trying for a while."""
+        """Store an outcome, trying for :data:`FINISH_SECONDS`."""
         until = self.runtime.monotonic() + FINISH_SECONDS
         self.storing += 1
         try:
@@ -155,7 +170,7 @@
 
 
 def request_digest(message: CallOpen) -> bytes:
-    """Return what tells one request from another under the same key."""
+    """Return the digest that distinguishes requests under the same key."""
     digest = hashlib.sha256(f"{message.method} {message.path}\n".encode())
     digest.update(message.body)
     return digest.digest()
--- a/src/cranklane/node/peer_connection.py
+++ b/src/cranklane/node/peer_connection.py
@@ -33,16 +33,19 @@
 from cranklane.runtime.interface import Address, Runtime
 
 PING_SECONDS = 1.0
-"""Seconds between pings on a connection."""
+"""Seconds between pings on a connection. A choice: the reports of load that answer them stay
+current, and an idle pair of nodes costs little."""
 
 SILENT_SECONDS = 3.0
-"""Seconds without a byte after which a destination counts as lost."""
+"""Seconds without a byte after which a destination counts as lost. A choice: three pings."""
 
 WINDOW_BYTES = 256 * 1024
-"""Body bytes a destination may send ahead of the caller."""
+"""Body bytes a destination may send ahead of the caller. A choice: what a call may cost in
+memory; most answers fit in whole."""
 
 CREDIT_BYTES = WINDOW_BYTES // 4
-"""Body bytes read before the destination is told that there is room again."""
+"""Body bytes read before the destination is granted as many again. A choice: a quarter of the
+window, so that the sender does not run dry while the grant is on its way."""
 
 
 class CallCancelledError(Exception):
@@ -74,7 +77,7 @@
         self._inbox.put(item)
 
     def cancel(self, reason: Reason) -> None:
-        """Tell the destination that nobody waits, and end the call's own wait."""
+        """Cancel the call at the destination, and end the call's own wait."""
         if self._ended:
             return
         self._connection.end(self)
@@ -193,8 +196,8 @@
         if self._records.closed:
             self.end(call)
             raise ConnectionLostError("connection is closed")
-        # From here on part of the record may be on its way: a failure is told
-        # to the call, which must take its outcome as unknown.
+        # From here on part of the record may be on its way: a failure goes to the call,
+        # whose outcome is then unknown.
         try:
             self._records.send(message, call.number)
         except ConnectionLostError as error:
@@ -210,6 +213,7 @@
         try:
             self._records.send(message, number)
         except ConnectionLostError:
+            # The task that reads notices it too, and ends all calls on the connection.
             pass
 
     def _read(self) -> None:
--- a/src/cranklane/node/peers.py
+++ b/src/cranklane/node/peers.py
@@ -1,4 +1,7 @@
-"""Connections to destination nodes, opened when first needed."""
+"""Connections to destination nodes, opened when first needed.
+
+Owns them; :mod:`~cranklane.node.peer_connection` is one of them.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,8 @@
 from cranklane.runtime.interface import Runtime
 
 CONNECT_SECONDS = 0.5
-"""Seconds a destination has to take a connection."""
+"""Seconds a destination has to take a connection. A choice: several round trips between
+regions; a dead machine delays a call no longer."""
 
 
 class PeerPool:
--- a/src/cranklane/node/worker.py
+++ b/src/cranklane/node/worker.py
@@ -1,31 +1,40 @@
-"""Runs calls in the node's own worker over HTTP."""
+"""Runs calls in the node's own worker over HTTP.
+
+Owns the connections to the worker. The sidecar has a client of its own
+(:mod:`~cranklane.sidecar.worker.exchange`): its worker states its instance and an integrity
+mark with each answer, and a request's bytes are passed on as they came.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 from result import Err, Ok, Result
 
 from cranklane.common import headers as header_names
 from cranklane.common.http_client import HttpClient, HttpRequestError, HttpResponse
+from cranklane.common.units import MILLISECONDS
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import CallOpen
 from cranklane.runtime.interface import Address, Runtime
 
 MAX_CONNECTIONS = 1024
-_SHED_STATUS = 503
+"""Connections to the worker at once. A choice: more than any worker has slots, so that only
+admission bounds the calls."""
 
 
+@dataclass(frozen=True, slots=True)
 class WorkerFailure:
     """Why the worker gave no answer.
 
     :ivar outcome: NOT_RUN only when it cannot have started the work.
     """
 
-    def __init__(self, outcome: Outcome, reason: Reason) -> None:
-        self.outcome = outcome
-        self.reason = reason
+    outcome: Outcome
+    reason: Reason
 
 
 class WorkerClient:
@@ -75,7 +84,7 @@
     def _headers(call: CallOpen, token: str, timeout: float) -> list[tuple[str, str]]:
         own = [
             (header_names.CONTEXT, token),
-            (header_names.DEADLINE_MS, str(max(1, int(timeout * 1000)))),
+            (header_names.DEADLINE_MS, str(max(1, int(timeout * MILLISECONDS)))),
         ]
         if call.key:
             own.append((header_names.IDEMPOTENCY_KEY, call.key))
@@ -94,8 +103,8 @@
 
 
 def _shed(response: HttpResponse) -> bool:
-    """Return whether the worker itself says that it has not started the work."""
-    if response.status != _SHED_STATUS:
+    """Return whether the worker states that it has not started the work."""
+    if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return False
     wanted = header_names.OUTCOME.lower()
     return any(
