--- a/src/cranklane/sidecar/admission/slots.py
+++ b/src/cranklane/sidecar/admission/slots.py
@@ -1,12 +1,14 @@
-"""The slots of one worker and the queue before them.
-
-The more important goes first; priority is that of the request at the root of the call
-tree. Among equals the order is by arrival, with a head start for those that may wait less:
-a request in a hurry is not held up by many that can wait, nor by those of them that have
-waited so long that they will be refused. What a call may wait comes from its root, so the
-calls of trees that are nearly done go before those of fresh ones, which lose less work when
-they are refused; of two such trees the older one has a small head start. None waits for
-ever: each wait has its end, and what is not expected to start until then is refused at once.
+"""The slots of one worker, and the queue before them.
+
+The more important goes first; priority is that of the request at the root of the call tree.
+Among equals the order is by arrival, with a head start for those that may wait less: a request
+in a hurry is not held up by many that can wait, nor by those of them that have waited so long
+that they will be refused. What a call may wait comes from its root, so the calls of trees that
+are nearly done go before those of fresh ones, which lose less work when they are refused; of two
+such trees the older one has a small head start. Every wait has an end, and what is not expected
+to start until then is refused at once.
+
+Owns the count of running and queued requests. Relies on each slot being released once.
 """
 
 from __future__ import annotations
@@ -22,23 +24,29 @@
 from cranklane.outcome import Reason
 
 HURRY_WEIGHT = 6.0
-"""Head start for each second that a request may wait less than another. At 1 the order is by
-latest start: under overload, those about to be refused then hold up all others. Drawn call
+"""Seconds of head start for each second that a request may wait less than another. At 1 the order
+is by latest start: under overload, those about to be refused then hold up all others. Drawn call
 trees (``cranklane-lab trees``) earned 0.010 more at 6 than at 1, mean of 20 seeds, -0.027 to
 0.071: its gain is not told apart from none."""
 
 AGE_WEIGHT = 0.1
-"""Head start for each second of the age of a request's root."""
+"""Seconds of head start for each second of the age of a request's root. A choice: small against
+``HURRY_WEIGHT``, so that age decides only between requests that may wait about as long."""
 
 MAX_AGE_SECONDS = 1.5
+"""Age of a root beyond which its head start does not grow, so that trees that are late anyway do
+not displace all others. A choice."""
 
 SLOT_SECONDS_WEIGHT = 0.05
-"""Weight of the newest request in the smoothed time that a slot is held."""
+"""Weight of the newest request in the smoothed time that a slot is occupied. A choice: the mean
+of about the last 20 requests."""
 
 INITIAL_SLOT_SECONDS = 0.05
+"""Time that a slot is taken to be occupied before any request has shown it. A choice."""
 
-SPARE_ENTRIES = 8
-"""Entries of waits that have ended which are kept before they are looked for."""
+MAX_ABANDONED = 8
+"""Entries of waits that have ended which are kept, beside as many as are waiting, before they
+are removed: removing reads the whole queue. A choice."""
 
 
 @dataclass(frozen=True, order=True, slots=True)
@@ -78,7 +86,7 @@
     :ivar running: requests that run now.
     :ivar queued: requests that wait now. Each counts until it is granted a slot or its
         own task has seen that it is not; entries of the others may stand a while longer.
-    :ivar slot_seconds: smoothed seconds that a request keeps its slot.
+    :ivar slot_seconds: smoothed seconds that a request occupies its slot.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -92,7 +100,7 @@
         self.slot_seconds = INITIAL_SLOT_SECONDS
 
     def expected_wait(self, rank: Rank) -> float:
-        """Return the seconds until a request of a rank would start; without end if never."""
+        """Return the seconds until a request of a rank would start; ``math.inf`` if never."""
         if self.running < self.limit:
             return 0.0
         if self.limit <= 0:
@@ -141,9 +149,12 @@
         self._drop_abandoned()
         return waiter.refused
 
-    def release(self, held_seconds: float) -> None:
-        """Give a slot back after a request that held it for so long."""
-        self.slot_seconds += SLOT_SECONDS_WEIGHT * (held_seconds - self.slot_seconds)
+    def release(self, occupied_seconds: float) -> None:
+        """Give a slot back.
+
+        :param occupied_seconds: how long the request occupied it.
+        """
+        self.slot_seconds += SLOT_SECONDS_WEIGHT * (occupied_seconds - self.slot_seconds)
         self.running -= 1
         self._grant()
 
@@ -168,6 +179,6 @@
             waiter.event.set()
 
     def _drop_abandoned(self) -> None:
-        """Forget those who wait no more once they are many."""
-        if len(self._waiting) > 2 * self.queued + SPARE_ENTRIES:
+        """Remove the entries of waits that have ended, once they are many."""
+        if len(self._waiting) > 2 * self.queued + MAX_ABANDONED:
             self._waiting = [entry for entry in self._waiting if entry[2].refused is Reason.NONE]
--- a/src/cranklane/sidecar/admission/tenant_quota.py
+++ b/src/cranklane/sidecar/admission/tenant_quota.py
@@ -1,10 +1,12 @@
 """Holds tenants to their rates together with all other sidecars.
 
-Control counts what all sidecars admit and tells them which part of a tenant's requests
-to admit (``control/fleet_quotas.py``). The part is the same at each sidecar, however
-unevenly a tenant's requests come in, and it is 1 for tenants below their limit. Without
-news of control a sidecar goes on with its own even share of the rate: what it admits is
-not counted then.
+Control counts what all sidecars admit and says which fraction of a tenant's requests to admit
+(``control/fleet_quotas.py``). The fraction is the same at each sidecar, however unevenly a
+tenant's requests come in, and it is 1 for tenants below their rate. While control's last update
+has expired, a sidecar uses its own even share of the rate: what it admits is not counted then.
+
+Owns the counts of one sidecar since its last report. Relies on control's clock for nothing: the
+age of an update is measured here, from when it was asked for.
 """
 
 from __future__ import annotations
@@ -20,12 +22,12 @@
 from cranklane.routes.tenants import Tenant
 from cranklane.sidecar.admission.retry_after import ADMITTED_ALL_PERMILLE
 
-NEWS_SECONDS = 1.2
-"""Age of control's last answer up to which its word is followed: twice the time between
+UPDATE_SECONDS = 1.2
+"""Age, in seconds, at which control's last update expires. A choice: twice the time between
 heartbeats, so that one that is late changes nothing."""
 
-OWN_DEPTH = 3.0
-"""Requests of a tenant that a sidecar without news admits at once. At 60% of a limit, 71
+OWN_SHARE_BURST = 3.0
+"""Requests of a tenant that a sidecar without an update admits at once. At 60% of a limit, 71
 sidecars and 26 requests/s of a tenant, fewer than 1 in 1,000 is refused in 2 s (Poisson
 arrivals, worked out)."""
 
@@ -34,23 +36,28 @@
 class _Account:
     """What this sidecar knows of one tenant.
 
-    :ivar permille: part of its requests to admit, in thousandths.
-    :ivar credit: what is left over of the part; a request needs 1.
-    :ivar tokens: of the own share, while there is no news; since ``filled_at``.
+    :ivar permille: fraction of its requests to admit, in thousandths.
+    :ivar credit: what is left over of the fraction; a request needs 1.
+    :ivar filled_at: monotonic second at which ``tokens`` were filled last.
+    :ivar tokens: requests that the own share allows now, while there is no update.
+    :ivar offered: requests since the last report.
+    :ivar admitted: those of them that were admitted.
+    :ivar returned: requests admitted that have not run, since the last report.
     """
 
     credit: float
     filled_at: float
     permille: int = ADMITTED_ALL_PERMILLE
-    tokens: float = OWN_DEPTH
+    tokens: float = OWN_SHARE_BURST
     offered: int = 0
     admitted: int = 0
     returned: int = 0
 
 
 class TenantQuota:
-    """The tenants' limits at one sidecar.
+    """The tenants' rates at one sidecar.
 
+    :param clock: monotonic seconds.
     :param fleet_size: returns how many sidecars there are.
     :ivar used: set while there is usage to report.
     """
@@ -62,19 +69,22 @@
         self._random = random
         self._fleet_size = fleet_size
         self._accounts: dict[str, _Account] = {}
-        self._heard_at = -math.inf
+        self._updated_at = -math.inf
         self.used = Event()
 
-    # News of control.
+    # Updates of control.
+
+    def updated(self, asked_at: float) -> None:
+        """Take that control has answered.
 
-    def heard(self, asked_at: float) -> None:
-        """Take that control has answered what was asked at a moment."""
-        self._heard_at = max(self._heard_at, asked_at)
+        :param asked_at: monotonic second at which it was asked.
+        """
+        self._updated_at = max(self._updated_at, asked_at)
 
     def take_shares(self, whole: bool, shares: list[TenantShare]) -> None:
-        """Take the parts of tenants' requests to admit.
+        """Take the fractions of tenants' requests to admit.
 
-        :param whole: whether all tenants that are not named are below their limits.
+        :param whole: whether all tenants that are not named are below their rates.
         """
         if whole:
             for account in self._accounts.values():
@@ -85,14 +95,14 @@
     # Requests.
 
     def admits(self, tenant: Tenant) -> bool:
-        """Return whether a request of a tenant is within its limit, and count it."""
+        """Return whether a request of a tenant is within its rate, and count it."""
         if tenant.rate_per_second <= 0:
             return True
         account = self._account(tenant.name)
         account.offered += 1
         self.used.set()
-        if self._clock() - self._heard_at <= NEWS_SECONDS:
-            admitted = self._within_part(account)
+        if self._clock() - self._updated_at <= UPDATE_SECONDS:
+            admitted = self._within_fraction(account)
         else:
             admitted = self._within_own_share(account, tenant)
         account.admitted += admitted
@@ -106,12 +116,12 @@
             self.used.set()
 
     def permille(self, tenant: str) -> int:
-        """Return the part of a tenant's requests that is admitted, in thousandths."""
+        """Return the fraction of a tenant's requests that is admitted, in thousandths."""
         account = self._accounts.get(tenant)
         return account.permille if account is not None else ADMITTED_ALL_PERMILLE
 
     @staticmethod
-    def _within_part(account: _Account) -> bool:
+    def _within_fraction(account: _Account) -> bool:
         if account.permille >= ADMITTED_ALL_PERMILLE:
             return True
         account.credit += account.permille / ADMITTED_ALL_PERMILLE
@@ -123,7 +133,7 @@
     def _within_own_share(self, account: _Account, tenant: Tenant) -> bool:
         now = self._clock()
         rate = tenant.rate_per_second / max(1, self._fleet_size())
-        account.tokens = min(OWN_DEPTH, account.tokens + (now - account.filled_at) * rate)
+        account.tokens = min(OWN_SHARE_BURST, account.tokens + (now - account.filled_at) * rate)
         account.filled_at = now
         if account.tokens < 1:
             return False
@@ -133,7 +143,7 @@
     def _account(self, name: str) -> _Account:
         account = self._accounts.get(name)
         if account is None:
-            # Beginning anywhere, so that all sidecars do not refuse the same request.
+            # A random start, so that not all sidecars refuse the same one of their requests.
             account = _Account(self._random.random(), self._clock())
             self._accounts[name] = account
         return account
--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -137,7 +137,7 @@
 
     def _take_heartbeat_answer(self, answer: HeartbeatAnswer) -> None:
         asked_at = answer.asked_us / MICROSECONDS
-        self._state.quota.heard(asked_at)
+        self._state.quota.updated(asked_at)
         if answer.confirmed:
             newest_at = asked_at - answer.age_us / MICROSECONDS
             self._state.lease.confirmed(newest_at, answer.revision, self._state.table.version)
