--- a/src/cranklane/cli/client.py
+++ b/src/cranklane/cli/client.py
@@ -1,9 +1,13 @@
-"""Calls the operator interface of control."""
+"""Calls the operator interface of control.
+
+Owns nothing; asks each control process given until one that leads answers.
+"""
 
 from __future__ import annotations
 
 import json
 from dataclasses import dataclass, field
+from http import HTTPStatus
 from typing import Any
 
 import gevent
@@ -15,7 +19,14 @@
 from cranklane.runtime.real import RealRuntime
 
 TIMEOUT_SECONDS = 75.0
-_UNAVAILABLE = 503
+"""Seconds for one call. A choice: longer than control itself waits for anything."""
+
+ROUNDS = 5
+"""How often all control processes are asked while none of them leads. A choice: with
+ROUND_SECONDS, longer than an election takes."""
+
+ROUND_SECONDS = 0.6
+"""Seconds between two rounds. A choice: one call a second and process is no load."""
 
 
 @dataclass(frozen=True)
@@ -31,13 +42,7 @@
     @property
     def another_may_answer(self) -> bool:
         """Whether it is worth asking another control process, or this one later."""
-        return self.status in (0, _UNAVAILABLE)
-
-
-ROUNDS = 5
-"""How often all control processes are asked while none of them leads."""
-
-ROUND_SECONDS = 0.6
+        return self.status in (0, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 class OperatorClient:
@@ -49,10 +54,13 @@
         self._token = token
 
     def call(self, method: str, path: str, media: Any = None) -> Result[dict, OperatorProblem]:
-        """Make one call and return the answer's JSON."""
+        """Make one call and return the answer's JSON.
+
+        :param media: the body, as JSON; None sends none.
+        """
         problem = OperatorProblem(0, ["no control address is given"])
-        for round_ in range(ROUNDS):
-            if round_:
+        for round_number in range(ROUNDS):
+            if round_number:
                 gevent.sleep(ROUND_SECONDS)
             for control in self._controls:
                 result = self._call_one(control, method, path, media)
@@ -83,7 +91,7 @@
             return Err(OperatorProblem(0, [f"{control}: {error}"]))
         finally:
             client.close()
-        if response.status >= 300:
+        if response.status >= HTTPStatus.MULTIPLE_CHOICES:
             return Err(OperatorProblem(response.status, _lines(response.status, answer)))
         return Ok(answer)
 
--- /dev/null
+++ b/src/cranklane/cli/configuration.py
@@ -0,0 +1,94 @@
+"""Commands on the configuration that control keeps."""
+
+from __future__ import annotations
+
+import difflib
+import secrets
+from pathlib import Path
+from typing import Annotated
+
+import typer
+
+from cranklane.cli.common import Control, Token, call, fail
+from cranklane.cli.policy import read_policy
+from cranklane.policy.model import states_anything
+
+REQUEST_ID_BYTES = 8
+"""Random bytes of an edit's request id. A choice: no two edits meet by accident."""
+
+config_commands = typer.Typer(no_args_is_help=True, help="Read and change what is in force.")
+
+
+@config_commands.command("list")
+def config_list(control: Control, token: Token) -> None:
+    """List the documents and their versions."""
+    for document in call(control, token, "GET", "/v1/documents")["documents"]:
+        typer.echo(f"{document['version']:>8}  {document['name']}")
+
+
+@config_commands.command("get")
+def config_get(name: str, control: Control, token: Token) -> None:
+    """Print a document's text."""
+    typer.echo(call(control, token, "GET", f"/v1/documents/{name}")["text"])
+
+
+@config_commands.command("history")
+def config_history(name: str, control: Control, token: Token) -> None:
+    """List a document's accepted edits, newest first."""
+    for entry in call(control, token, "GET", f"/v1/documents/{name}/history")["history"]:
+        typer.echo(f"{entry['version']:>8}  from {entry['base']:>8}  by {entry['operator']}")
+
+
+@config_commands.command("diff")
+def config_diff(name: str, path: Path, control: Control, token: Token) -> None:
+    """Print what a file would change in a document's text."""
+    current = call(control, token, "GET", f"/v1/documents/{name}")
+    for line in difflib.unified_diff(
+        current["text"].splitlines(), path.read_text().splitlines(), name, str(path), lineterm=""
+    ):
+        typer.echo(line)
+
+
+@config_commands.command("apply")
+def config_apply(
+    path: Path,
+    control: Control,
+    token: Token,
+    base: Annotated[
+        int | None, typer.Option(help="version the edit started from; default: the one in force")
+    ] = None,
+    request: Annotated[str | None, typer.Option(help="request id, to resend the same edit")] = None,
+    wait: Annotated[bool, typer.Option(help="wait until it is in force on all nodes")] = True,
+) -> None:
+    """Put a policy text in force; each tenant in it is a document of its own."""
+    policy = read_policy(path)
+    request = request or secrets.token_hex(REQUEST_ID_BYTES)
+    documents = [(tenant.name, tenant.source) for tenant in policy.tenants]
+    if states_anything(policy):
+        documents.insert(0, ("root", policy.source))
+    version = 0
+    for name, text in documents:
+        version = _apply_one(control, token, name, text, base, f"{request}-{name}")
+    if wait and version:
+        config_wait(version, control, token)
+
+
+def _apply_one(
+    control: str, token: str, name: str, text: str, base: int | None, request: str
+) -> int:
+    if base is None:
+        listed = call(control, token, "GET", "/v1/documents")["documents"]
+        base = next((item["version"] for item in listed if item["name"] == name), 0)
+    media = {"text": text, "base": base, "request": request}
+    answer = call(control, token, "PUT", f"/v1/documents/{name}", media)
+    typer.echo(f"{name}: {answer['result']}, version {answer['version']}")
+    return int(answer["version"])
+
+
+@config_commands.command("wait")
+def config_wait(version: int, control: Control, token: Token, seconds: float = 10.0) -> None:
+    """Wait until a version is in force on all live nodes; name those behind."""
+    answer = call(control, token, "GET", f"/v1/wait?version={version}&seconds={seconds}")
+    if not answer["in_force"]:
+        raise fail([f"version {version} is not in force on: {', '.join(answer['behind'])}"])
+    typer.echo(f"version {version} is in force everywhere")
--- a/src/cranklane/cli/control.py
+++ b/src/cranklane/cli/control.py
@@ -17,7 +17,10 @@
 control_commands = typer.Typer(no_args_is_help=True, help="Replicas of control and back-ups.")
 
 WAIT_SECONDS = 60.0
-_LOOK_SECONDS = 0.3
+"""Seconds that a replica has to vote. A choice: time to copy the state of a large fleet."""
+
+POLL_SECONDS = 0.3
+"""Seconds between looks at whether it votes. A choice."""
 
 
 def _replicas(control: str, token: str) -> list[dict[str, Any]]:
@@ -55,7 +58,7 @@
         if time.monotonic() >= until:
             problem = "has not caught up" if found else "has not joined; start it first"
             raise fail([f"{name} {problem}"])
-        time.sleep(_LOOK_SECONDS)
+        time.sleep(POLL_SECONDS)
 
 
 @control_commands.command()
--- a/src/cranklane/cli/daemon.py
+++ b/src/cranklane/cli/daemon.py
@@ -1,4 +1,8 @@
-"""Runs one of the daemons until it is told to stop."""
+"""Runs one of the daemons until a signal stops it.
+
+Owns what all daemons share: flags and settings, signals, reloading, the exit status, and how
+the garbage collector runs.
+"""
 
 from __future__ import annotations
 
@@ -23,14 +27,18 @@
 """Allocations between two collections of the youngest objects, and of these between those of
 older ones. The default of 700 runs one for each five requests or so."""
 
+EXIT_UNFINISHED = 1
+"""Exit status when a planned stop has cut what was in flight."""
+
 EXIT_SETTINGS = 2
 """Exit status for wrong settings or a port that is taken."""
 
 EXIT_DAMAGED = 3
 """Exit status for a data folder that cannot be trusted."""
 
-SETTINGS_LOOK_SECONDS = 2.0
-"""Seconds between looks at whether the settings file has changed."""
+SETTINGS_CHECK_SECONDS = 2.0
+"""Seconds between looks at whether the settings file has changed. A choice: soon enough for an
+operator who watches."""
 
 
 class Process(Protocol):
@@ -83,17 +91,42 @@
     process_kind, settings_kind = _kinds(command)
     flags = _parse(command, settings_kind, arguments)
     path = flags.pop("settings")
+
+    def read_settings() -> Any:
+        return load(settings_kind, path, flags)
+
     try:
-        settings = load(settings_kind, path, flags)
+        settings = read_settings()
     except SettingsError as error:
         print("\n".join(error.problems), file=sys.stderr)
         return EXIT_SETTINGS
     lines = configure_logs()
-    # An error of this kind in any task ends the process, not only the task.
+    _stop_at_broken_invariants()
+    process: Process = process_kind(RealRuntime(), settings, **parts)
+    stop_requested = _stop_signal()
+    failure = _start(process, settings)
+    if failure is not None:
+        return failure
+    reload = getattr(process, "reload", None)
+    if path and reload is not None:
+        _watch_settings(path, read_settings, reload)
+    _settle_collector()
+    stop_requested.wait()
+    try:
+        return 0 if process.stop() else EXIT_UNFINISHED
+    finally:
+        # The last lines are still in the queue; they state how the process ended.
+        lines.write_now()
+
+
+def _stop_at_broken_invariants() -> None:
+    """Let an InvariantError in any task end the process, not only the task."""
     hub = gevent.get_hub()
     hub.SYSTEM_ERROR = (*hub.SYSTEM_ERROR, InvariantError)
-    process: Process = process_kind(RealRuntime(), settings, **parts)
-    told = _stop_signal()
+
+
+def _start(process: Process, settings: Any) -> int | None:
+    """Start a daemon; return the exit status when it cannot start."""
     try:
         process.start()
     except DamagedLogError as error:
@@ -102,16 +135,7 @@
     except OSError as error:
         print(f"cannot start: {error}", file=sys.stderr)
         return EXIT_SETTINGS
-    reload = getattr(process, "reload", None)
-    if path and reload is not None:
-        _watch_settings(path, lambda: load(settings_kind, path, flags), reload)
-    _settle_collector()
-    told.wait()
-    try:
-        return 0 if process.stop() else 1
-    finally:
-        # The last lines still gather; they tell how the process ended.
-        lines.write_now()
+    return None
 
 
 def _settle_collector() -> None:
@@ -122,23 +146,24 @@
 
 
 def _stop_signal() -> Event:
-    told = Event()
+    """Return an event that is set when the process is to stop."""
+    stop_requested = Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, told.set)
-    return told
+        gevent.signal_handler(number, stop_requested.set)
+    return stop_requested
 
 
 def _watch_settings(path: str, read: Callable[[], Any], reload: Callable[[Any], None]) -> None:
     """Reload settings on SIGHUP, and when the file is seen to have changed."""
-    hung_up = Event()
-    gevent.signal_handler(signal.SIGHUP, hung_up.set)
+    reload_requested = Event()
+    gevent.signal_handler(signal.SIGHUP, reload_requested.set)
     log = logger(process="settings")
 
     def watch() -> None:
         seen = _stamp(path)
         while True:
-            signalled = hung_up.wait(SETTINGS_LOOK_SECONDS)
-            hung_up.clear()
+            signalled = reload_requested.wait(SETTINGS_CHECK_SECONDS)
+            reload_requested.clear()
             stamp = _stamp(path)
             if not signalled and stamp == seen:
                 continue
@@ -154,6 +179,7 @@
 
 
 def _stamp(path: str) -> tuple[int, int, int]:
+    """Return what changes with a file's content; zeros while there is no file."""
     try:
         status = os.stat(path)
     except OSError:
--- a/src/cranklane/cli/explain.py
+++ b/src/cranklane/cli/explain.py
@@ -1,4 +1,4 @@
-"""Shows a policy's values in force and the branch that set each."""
+"""Lists a policy's values in force and the branch that set each."""
 
 from __future__ import annotations
 
--- a/src/cranklane/cli/losses.py
+++ b/src/cranklane/cli/losses.py
@@ -1,4 +1,8 @@
-"""Where the requests of a fleet went, from the summaries in its sidecars' logs."""
+"""Sums up how the requests of a fleet ended, from the summaries in its sidecars' logs.
+
+Relies on the fields of the log event ``requests_ended``
+(:mod:`~cranklane.sidecar.telemetry.request_summary`).
+"""
 
 from __future__ import annotations
 
@@ -7,10 +11,17 @@
 from dataclasses import dataclass, field
 
 from cranklane.cli.story import LogLine
+from cranklane.common.units import MILLISECONDS
 
 SUMMARY_EVENT = "requests_ended"
+"""Log event of a sidecar's summary."""
+
 ENDS = ("in_time", "late", "refused", "failed", "left")
+"""How a client's request may end, as summaries name it."""
+
 _SERVED = ("in_time", "late")
+_ROUTE_WIDTH = 14
+"""Characters of a route's name at the head of a column; longer names are cut."""
 
 
 @dataclass
@@ -34,7 +45,7 @@
 
     @property
     def routes(self) -> list[str]:
-        """Every route, the one with most requests first."""
+        """Every route, those with more requests first."""
         counts: defaultdict[str, int] = defaultdict(int)
         for (route, _), count in self.by_route.items():
             counts[route] += count
@@ -42,7 +53,7 @@
 
     @property
     def services(self) -> list[str]:
-        """Every service, the one with most work first."""
+        """Every service, those with more work first."""
         sums: defaultdict[str, int] = defaultdict(int)
         for (service, _), milliseconds in self.work.items():
             sums[service] += milliseconds
@@ -66,34 +77,34 @@
     return losses
 
 
-def told(losses: Losses) -> Iterator[str]:
+def format_losses(losses: Losses) -> Iterator[str]:
     """Yield the report: ends by route, causes, useful work, and the worst seconds."""
     yield "Requests of clients by route and end"
     yield f"  {'route':<20}" + "".join(f"{end:>9}" for end in ENDS)
     for route in losses.routes:
         counts = "".join(f"{losses.by_route[route, end]:>9}" for end in ENDS)
         yield f"  {route:<20}{counts}"
-    yield "What the others were lost for"
-    most = sorted(losses.by_cause.items(), key=lambda item: -item[1])
-    for (route, end, service, reason), count in most:
+    yield "Why the others were lost"
+    by_count = sorted(losses.by_cause.items(), key=lambda item: -item[1])
+    for (route, end, service, reason), count in by_count:
         yield f"  {count:>8}  {route:<20} {end:<8} {reason} at {service or '?'}"
     yield "Useful work: seconds of slots by the end of the request they were for"
     for service in losses.services:
-        yield f"  {service:<20}" + _shares(losses, service)
-    yield "Served part of each second"
+        yield f"  {service:<20}" + _work_by_end(losses, service)
+    yield "Served requests of each second"
     yield from _seconds(losses)
 
 
-def _shares(losses: Losses, service: str) -> str:
+def _work_by_end(losses: Losses, service: str) -> str:
     total = sum(losses.work[service, end] for end in ENDS)
-    shares = [f"{end} {losses.work[service, end] / total:.1%}" for end in ENDS] if total else []
-    return f"{total / 1000:>9.1f} s  " + "  ".join(shares)
+    ratios = [f"{end} {losses.work[service, end] / total:.1%}" for end in ENDS] if total else []
+    return f"{total / MILLISECONDS:>9.1f} s  " + "  ".join(ratios)
 
 
 def _seconds(losses: Losses) -> Iterator[str]:
     seconds = sorted({second for second, _, _ in losses.by_second})
     routes = losses.routes
-    yield "  second    " + "".join(f"{route[:14]:>22}" for route in routes)
+    yield "  second    " + "".join(f"{route[:_ROUTE_WIDTH]:>22}" for route in routes)
     for second in seconds:
         cells = "".join(f"{_cell(losses, second, route):>22}" for route in routes)
         yield f"  {second - seconds[0]:>6}    {cells}"
--- a/src/cranklane/cli/story.py
+++ b/src/cranklane/cli/story.py
@@ -1,4 +1,7 @@
-"""Tells what became of one request, from the logs of the processes that it passed."""
+"""Explains what happened to one request, from the logs of the processes that it passed.
+
+Relies on the names and fields of log events; a test plays requests and reads them back.
+"""
 
 from __future__ import annotations
 
@@ -6,9 +9,14 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from datetime import datetime
+from http import HTTPStatus
 from typing import Any
 
+from cranklane.common.units import MILLISECONDS
+
 REQUEST_EVENTS = ("request", "attempt", "admission", "quarantine_refusal")
+"""Log events about one request."""
+
 STATE_EVENTS = frozenset(
     {
         "worker_state",
@@ -26,8 +34,11 @@
         "lines_left_out",
     }
 )
+"""Log events about changes of a process's state."""
+
 AROUND_SECONDS = 3.0
-"""Changes of state this close to a request are told with it."""
+"""Seconds before and after a request within which changes of state are shown with it. A
+choice: failures are noticed within that time."""
 
 _CAUSES = {
     "queue_full": "the worker's slots were taken and its queue longer than the request may wait",
@@ -69,7 +80,7 @@
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
     """Return the lines of a log that are JSON objects with a time and an event.
 
-    Whatever stands before the object on a line is passed over.
+    Text before the object on a line, as log collectors add it, is skipped.
     """
     for text in texts:
         start = text.find("{")
@@ -80,11 +91,12 @@
             at = datetime.fromisoformat(fields.pop("timestamp")).timestamp()
             yield LogLine(at, str(fields.pop("node", "")), str(fields.pop("event")), fields)
         except (ValueError, KeyError, TypeError, AttributeError):
+            # Not a line of a process of ours: logs are read as they were collected.
             continue
 
 
 def story_of(request: str, lines: Iterable[LogLine]) -> list[str]:
-    """Return the story of a request in order, its cause last; empty when unknown.
+    """Return the lines on a request in order, the cause of its end last; empty when unknown.
 
     :param request: the id that its caller gave it.
     """
@@ -104,11 +116,11 @@
         for line in known
         if line.event in STATE_EVENTS and line.node in nodes and first <= line.at <= last
     ]
-    told = sorted([*own, *around], key=lambda line: line.at)
-    return [_told(line) for line in told] + [f"cause: {cause_of(own)}"]
+    shown = sorted([*own, *around], key=lambda line: line.at)
+    return [_format_line(line) for line in shown] + [f"cause: {cause_of(own)}"]
 
 
-def _told(line: LogLine) -> str:
+def _format_line(line: LogLine) -> str:
     time = datetime.fromtimestamp(line.at).strftime("%H:%M:%S.%f")[:-3]
     left_out = ("request", "level", "process")
     fields = " ".join(
@@ -118,13 +130,13 @@
 
 
 def cause_of(lines: list[LogLine]) -> str:
-    """Return in words why a request ended as it did.
+    """Return a sentence on why a request ended as it did.
 
     :param lines: its own lines, in order.
     """
     ends = [line for line in lines if line.event == "request"]
     if not ends:
-        return "no line tells its end: its caller may still wait, or lines were left out"
+        return "no line states its end: its caller may still wait, or lines were left out"
     end = ends[-1].fields
     reason = str(end.get("reason", "none"))
     outcome = str(end.get("outcome", ""))
@@ -140,16 +152,16 @@
 
 def _cause_of_answer(end: dict[str, Any]) -> str:
     status = int(end.get("status", 0))
-    if status >= 500:
+    if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
         return f"the worker ran it and answered {status}"
     seconds, objective = float(end.get("seconds", 0)), float(end.get("objective_seconds", 0))
     if not seconds > objective > 0:
         return "none: it was answered in time"
     waited, ran = int(end.get("waited_ms", 0)), int(end.get("ran_ms", 0))
-    other = max(0, int(seconds * 1000) - waited - ran)
-    parts = {"its wait for a slot": waited, "the worker's own time": ran, "the way there": other}
-    most = max(parts, key=lambda name: parts[name])
+    other = max(0, int(seconds * MILLISECONDS) - waited - ran)
+    times = {"its wait for a slot": waited, "the worker's own time": ran, "the way there": other}
+    longest = max(times, key=lambda name: times[name])
     return (
-        f"late, most of all by {most}: {waited} ms waited, {ran} ms at the worker, "
-        f"{other} ms otherwise, of {int(objective * 1000)} ms it should take"
+        f"late, most of all by {longest}: {waited} ms waited, {ran} ms at the worker, "
+        f"{other} ms otherwise, of {int(objective * MILLISECONDS)} ms it should take"
     )
--- a/src/cranklane/outcome.py
+++ b/src/cranklane/outcome.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import http
 from enum import IntEnum
 
 
@@ -46,7 +47,7 @@
 
 
 class Reason(IntEnum):
-    """Why a call was refused or failed; counted, and told to the caller."""
+    """Why a call was refused or failed; counted, and reported to the caller."""
 
     NONE = 0
     QUEUE_FULL = 1
@@ -81,17 +82,17 @@
     """Whether the route table in force is still the newest is not known."""
     QUOTA_EXCEEDED = 30
     CALL_UNTIED = 31
-    """The run that makes this call is not known here."""
+    """The call is uncorrelated: the run that makes it is not known here."""
     WORKER_ENDED = 32
-    """The worker's process ended while it ran this request, which may be the cause."""
+    """The worker's process crashed while it ran this request, which may be the cause."""
     WORKER_LEFT = 33
-    """The worker's process ended while it ran this request, after it had told that it leaves."""
+    """The worker's process ended while it ran this request, after it had announced its stop."""
     QUARANTINED = 34
-    """The workers that ran this very request before have ended; it is refused for a while."""
+    """Workers that ran this very request before have crashed; it is refused for a while."""
     SUSPECTED = 35
-    """It may have ended a worker: only the gate that runs it alone may run it."""
+    """It may have crashed a worker: only the gate that runs it isolated may run it."""
     RUN_ALONE = 36
-    """The same request is being run alone, to see whether it ends its worker."""
+    """The same request is running isolated, to see whether it crashes its worker."""
 
     @property
     def label(self) -> str:
@@ -99,33 +100,36 @@
         return self.name.lower()
 
 
-_CLIENT_ERROR_STATUS = {
-    Reason.UNKNOWN_ROUTE: 404,
-    Reason.NOT_GRANTED: 403,
-    Reason.UNAUTHENTICATED: 401,
-    Reason.REQUEST_TOO_LARGE: 413,
-    Reason.BAD_REQUEST: 400,
-    Reason.KEY_MISSING: 400,
-    Reason.KEY_CONFLICT: 422,
-    Reason.IN_PROGRESS: 409,
-    Reason.ALREADY_RUN: 409,
-    Reason.TOO_DEEP: 508,
-    Reason.QUOTA_EXCEEDED: 429,
+_STATUS_BY_REASON = {
+    Reason.UNKNOWN_ROUTE: http.HTTPStatus.NOT_FOUND.value,
+    Reason.NOT_GRANTED: http.HTTPStatus.FORBIDDEN.value,
+    Reason.UNAUTHENTICATED: http.HTTPStatus.UNAUTHORIZED.value,
+    Reason.REQUEST_TOO_LARGE: http.HTTPStatus.REQUEST_ENTITY_TOO_LARGE.value,
+    Reason.BAD_REQUEST: http.HTTPStatus.BAD_REQUEST.value,
+    Reason.KEY_MISSING: http.HTTPStatus.BAD_REQUEST.value,
+    Reason.KEY_CONFLICT: http.HTTPStatus.UNPROCESSABLE_ENTITY.value,
+    Reason.IN_PROGRESS: http.HTTPStatus.CONFLICT.value,
+    Reason.ALREADY_RUN: http.HTTPStatus.CONFLICT.value,
+    Reason.TOO_DEEP: http.HTTPStatus.LOOP_DETECTED.value,
+    Reason.QUOTA_EXCEEDED: http.HTTPStatus.TOO_MANY_REQUESTS.value,
 }
+_NOT_RUN_STATUS = http.HTTPStatus.SERVICE_UNAVAILABLE.value
+_TOO_LATE_STATUS = http.HTTPStatus.GATEWAY_TIMEOUT.value
+_UNKNOWN_STATUS = http.HTTPStatus.BAD_GATEWAY.value
 
 
 def status_of(outcome: Outcome, reason: Reason) -> int:
-    """Return the HTTP status that tells a caller of a call without an answer.
+    """Return the HTTP status for a caller whose call got no answer of a worker.
 
     >>> status_of(Outcome.NOT_RUN, Reason.QUEUE_FULL)
     503
     >>> status_of(Outcome.UNKNOWN, Reason.DEADLINE_PASSED)
     504
     """
-    if reason in _CLIENT_ERROR_STATUS:
-        return _CLIENT_ERROR_STATUS[reason]
+    if reason in _STATUS_BY_REASON:
+        return _STATUS_BY_REASON[reason]
     if outcome is Outcome.NOT_RUN:
-        return 503
+        return _NOT_RUN_STATUS
     if reason is Reason.DEADLINE_PASSED:
-        return 504
-    return 502
+        return _TOO_LATE_STATUS
+    return _UNKNOWN_STATUS
--- a/src/cranklane/settings.py
+++ b/src/cranklane/settings.py
@@ -25,8 +25,8 @@
 class Check:
     """A test of one value.
 
-    :ivar expected: what a right value is, in words.
-    :ivar accepts: returns whether a value is right.
+    :ivar expected: what a valid value is, in words.
+    :ivar accepts: returns whether a value is valid.
     :ivar parse: turns a flag's text into a value.
     """
 
@@ -85,25 +85,25 @@
 )
 
 
-def seconds(least: float, most: float) -> Check:
+def seconds(minimum: float, maximum: float) -> Check:
     """Return the check of a time in seconds between two bounds."""
     return Check(
-        f"seconds from {least:g} to {most:g}",
+        f"seconds from {minimum:g} to {maximum:g}",
         lambda value: (
             isinstance(value, int | float)
             and not isinstance(value, bool)
-            and least <= value <= most
+            and minimum <= value <= maximum
         ),
         float,
     )
 
 
-def whole_number(least: int, most: int) -> Check:
+def whole_number(minimum: int, maximum: int) -> Check:
     """Return the check of a whole number between two bounds."""
     return Check(
-        f"a whole number from {least} to {most}",
+        f"a whole number from {minimum} to {maximum}",
         lambda value: (
-            isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
+            isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
         ),
         int,
     )
@@ -135,12 +135,12 @@
 def load(
     kind: type[_Settings], path: str | None = None, flags: Mapping[str, str | None] | None = None
 ) -> _Settings:
-    """Return checked settings from a file and flags; a flag goes before the file.
+    """Return checked settings from a file and flags; a flag overrides the file.
 
     :param kind: the settings class.
     :param path: a TOML file, or None.
     :param flags: text given for a key on the command line; None is not given.
-    :raises SettingsError: naming every wrong, missing and unknown key.
+    :raises SettingsError: naming every invalid, missing and unknown key.
     """
     declared = {item.name: item for item in fields(kind)}  # type: ignore[arg-type]
     problems: list[str] = []
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -7,7 +7,7 @@
 import gevent
 from typer.testing import CliRunner
 
-from cranklane.cli.losses import losses_of, told
+from cranklane.cli.losses import format_losses, losses_of
 from cranklane.cli.main import application
 from cranklane.cli.story import read_lines
 from cranklane_lab.simulation.mesh import Mesh, route_table
@@ -99,7 +99,7 @@
         summary(1, [["r", "refused", "s", "queue_full", 1]], []),
         summary(2, [["r", "failed", "t", "run_failed", 2]], [["s", "failed", 250]]),
     ]
-    report = "\n".join(told(losses_of(read_lines(lines))))
+    report = "\n".join(format_losses(losses_of(read_lines(lines))))
     assert "1.0 s  in_time 75.0%  late 0.0%  refused 0.0%  failed 25.0%" in report
     assert "3/4" in report and "0/2" in report
     assert "2  r                    failed   run_failed at t" in report
