--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Protocol
 
-from cranklane.common.request_names import HeaderNames
+from cranklane.common.header_names import HeaderNames
 from cranklane.common.units import MICROSECONDS, MILLISECONDS
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
--- a/src/cranklane/sidecar/ingress/answer_writer.py
+++ b/src/cranklane/sidecar/ingress/answer_writer.py
@@ -8,9 +8,9 @@
 
 from http import HTTPStatus
 
+from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import Framing
 from cranklane.common.http1.writer import LAST_CHUNK, chunk, framing_line, status_line
-from cranklane.common.request_names import HeaderNames
 from cranklane.errors import AnswerCutError
 from cranklane.outcome import status_of
 from cranklane.runtime.interface import Runtime
--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -7,8 +7,8 @@
 
 from result import Err, Ok, Result
 
+from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import RequestHead
-from cranklane.common.request_names import HeaderNames
 from cranklane.outcome import Reason
 from cranklane.routes.table import Route, RouteTable
 from cranklane.routes.tenants import Tenant
--- a/src/cranklane/sidecar/ingress/call_builder.py
+++ b/src/cranklane/sidecar/ingress/call_builder.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
+from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import Framing, RequestHead
 from cranklane.common.http1.writer import end_to_end, framing_line, header_lines
-from cranklane.common.request_names import HeaderNames
 from cranklane.common.units import MILLISECONDS
 from cranklane.outcome import Reason
 from cranklane.routes.splitter import Splitter
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -14,8 +14,8 @@
 
 from result import Err
 
+from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import RequestHead
-from cranklane.common.request_names import HeaderNames
 from cranklane.common.units import MILLISECONDS
 from cranklane.outcome import Outcome
 from cranklane.routes.splitter import Splitter
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -8,9 +8,9 @@
 
 import gevent
 
+from cranklane.common.header_names import HeaderNames
 from cranklane.common.logs import logger
 from cranklane.common.metrics_server import MetricsServer
-from cranklane.common.request_names import HeaderNames
 from cranklane.common.small_http import SmallHandler, SmallHttp
 from cranklane.common.units import MILLISECONDS
 from cranklane.records.messages import Hello
--- a/src/cranklane/sidecar/worker/discovery.py
+++ b/src/cranklane/sidecar/worker/discovery.py
@@ -8,7 +8,7 @@
 
 from typing import Any
 
-from cranklane.common.request_names import HeaderNames
+from cranklane.common.header_names import HeaderNames
 from cranklane.runtime.interface import Runtime
 from cranklane.sidecar.worker.probe import WorkerProbe
 from cranklane.sidecar.worker.registry import WorkerRegistry
--- a/src/cranklane/sidecar/worker/exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Callable, Iterator
 
+from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import (
     AnswerHead,
     Framing,
@@ -11,7 +12,6 @@
     MessageCutError,
 )
 from cranklane.common.http1.writer import LAST_CHUNK, chunk, end_to_end, header_lines
-from cranklane.common.request_names import HeaderNames
 from cranklane.errors import AnswerCutError, ConnectionLostError, MalformedRecordError
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
--- a/src/cranklane/sidecar/worker/probe.py
+++ b/src/cranklane/sidecar/worker/probe.py
@@ -11,9 +11,9 @@
 
 import gevent
 
+from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import AnswerHead, MalformedMessageError, MessageCutError
 from cranklane.common.http1.reader import AnswerReader
-from cranklane.common.request_names import HeaderNames
 from cranklane.runtime.interface import Address, Runtime, format_address
 from cranklane.sidecar.worker.pool import MAX_HEAD_BYTES
 
--- a/src/cranklane_lab/standins/routed_worker.py
+++ b/src/cranklane_lab/standins/routed_worker.py
@@ -13,10 +13,10 @@
 
 import gevent
 
+from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import MalformedMessageError, MessageCutError, RequestHead
 from cranklane.common.http1.reader import RequestReader
 from cranklane.common.http1.writer import status_line
-from cranklane.common.request_names import HeaderNames
 from cranklane.runtime.interface import Address, Runtime
 from cranklane_lab.standins.raw_http import exchange
 
