--- a/src/cranklane/common/header_names.py
+++ b/src/cranklane/common/header_names.py
@@ -1,4 +1,4 @@
-"""Names of the headers that a sidecar reads and sets.
+"""Names of the headers that a sidecar reads and sets; those of nodes are in ``headers``.
 
 The defaults are the product's own; an adapter to another platform gives its
 names. Names are lower case where they are compared and as sent where they are
@@ -23,7 +23,7 @@
     :ivar not_run: on a worker's answer: the request was not run.
     :ivar load: on a worker's answer: running, waiting, slots.
     :ivar key: API key of the tenant whose request it is; never passed on.
-    :ivar tenant: name of that tenant, told to workers.
+    :ivar tenant: name of that tenant, passed to workers.
     """
 
     request: bytes = b"Cranklane-Request-Id"
--- a/src/cranklane/common/headers.py
+++ b/src/cranklane/common/headers.py
@@ -1,9 +1,15 @@
-"""HTTP header names the product reads and writes."""
+"""Headers of the nodes' HTTP, towards callers and workers.
+
+The sidecar's are in :mod:`~cranklane.common.header_names`: an adapter can rename them.
+"""
 
 from __future__ import annotations
 
+from cranklane.common.units import MILLISECONDS
+
 CONTEXT = "Cranklane-Context"
-"""Given to a worker with a request; copied by it into the calls it makes for it."""
+"""Token given to a worker with a request; the worker copies it into the calls that it makes
+for that request."""
 
 OUTCOME = "Cranklane-Outcome"
 """``answered``, ``not_run`` or ``unknown``; on every answer to a caller."""
@@ -15,7 +21,7 @@
 """Attempts made for this call, the first included."""
 
 RETRY_AFTER_MS = "Cranklane-Retry-After-Ms"
-"""When to come back, in milliseconds; beside the standard ``Retry-After``."""
+"""Milliseconds after which to try again; beside the standard ``Retry-After``."""
 
 DEADLINE_MS = "Cranklane-Deadline-Ms"
 """Time left for the root request, in milliseconds; a client may shorten it."""
@@ -50,9 +56,9 @@
 
 
 def retry_after_seconds(milliseconds: int) -> str:
-    """Return the standard header's value, whole seconds rounded up.
+    """Return the value of ``Retry-After``: whole seconds, rounded up, at least one.
 
     >>> retry_after_seconds(1200)
     '2'
     """
-    return str(max(1, -(-milliseconds // 1000)))
+    return str(max(1, -(-milliseconds // MILLISECONDS)))
--- a/src/cranklane/common/http1/writer.py
+++ b/src/cranklane/common/http1/writer.py
@@ -4,26 +4,13 @@
 
 from http import HTTPStatus
 
+from cranklane.common.headers import HOP_BY_HOP as HOP_BY_HOP_NAMES
 from cranklane.common.http1.message import Framing, Header
 
 LAST_CHUNK = b"0\r\n\r\n"
 """Ends a chunked body."""
 
-HOP_BY_HOP = frozenset(
-    {
-        b"connection",
-        b"keep-alive",
-        b"proxy-authenticate",
-        b"proxy-authorization",
-        b"proxy-connection",
-        b"te",
-        b"trailer",
-        b"transfer-encoding",
-        b"upgrade",
-        b"expect",
-        b"content-length",
-    }
-)
+HOP_BY_HOP = frozenset(name.encode() for name in HOP_BY_HOP_NAMES) | {b"content-length"}
 """Headers of one connection or of its framing; never passed on as they came."""
 
 _PHRASES = {status.value: status.phrase for status in HTTPStatus}
--- a/src/cranklane/common/http_client.py
+++ b/src/cranklane/common/http_client.py
@@ -16,7 +16,8 @@
 from cranklane.runtime.interface import Address, Runtime, format_address
 
 READ_SIZE = 64 * 1024
-"""Bytes asked of the kernel at once when reading a body."""
+"""Bytes asked of the kernel at once when reading a body. A choice: most bodies come
+in one piece."""
 
 _NO_BODY_METHODS = frozenset({"GET", "HEAD", "DELETE"})
 _PARSER_ERRORS = (HTTPParseError, OSError, ValueError)
@@ -114,7 +115,7 @@
 class HttpClient:
     """Keeps connections to one server.
 
-    :param concurrency: most requests at once; more wait for a connection.
+    :param concurrency: requests at once at most; more wait for a connection.
     :param connect_timeout: seconds to open a connection.
     """
 
--- a/src/cranklane/common/http_server.py
+++ b/src/cranklane/common/http_server.py
@@ -16,7 +16,8 @@
 """Key of the WSGI environment under which the caller's connection stands."""
 
 IDLE_SECONDS = 60.0
-"""A caller's connection may be silent, or refuse to take bytes, this long."""
+"""Seconds for which a caller's connection may be silent, or take no bytes. A choice: longer than
+clients keep idle connections."""
 
 
 class _Handler(WSGIHandler):
--- a/src/cranklane/common/logs.py
+++ b/src/cranklane/common/logs.py
@@ -21,13 +21,15 @@
 import gevent
 
 QUEUE_LINES = 4000
-"""Lines that wait to be written; the oldest are left out beyond that."""
+"""Lines that wait to be written; beyond that the oldest are left out. A choice: some megabytes
+at most, and several seconds of a busy process."""
 
 FLUSH_SECONDS = 0.5
 """Lines gather this long, so that many leave in one write: a wake-up of a process among
 hundreds costs far more than the lines."""
 
 WRITE_BYTES = 64 * 1024
+"""Bytes of one write at least, when so many wait. A choice: what a pipe takes at once."""
 
 
 class LineQueue:
--- a/src/cranklane/common/request_headers.py
+++ b/src/cranklane/common/request_headers.py
@@ -13,7 +13,10 @@
 from typing import BinaryIO
 
 MAX_FIELDS = 100
+"""Header fields of one request at most. A choice: what most servers allow."""
+
 MAX_LINE_BYTES = 16 * 1024
+"""Longest header line in bytes. A choice: tokens and cookies fit."""
 
 _NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _CONTROL = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
--- a/src/cranklane/common/small_http.py
+++ b/src/cranklane/common/small_http.py
@@ -8,6 +8,7 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Any
 
 from cranklane.common.http1.message import (
@@ -20,16 +21,24 @@
 from cranklane.runtime.interface import Address, Runtime
 
 MAX_HEAD_BYTES = 16 * 1024
+"""Largest head of a request. A choice: far above what these calls need."""
+
 MAX_BODY_BYTES = 256 * 1024
+"""Largest body of a request; the connection of a larger one is closed. A choice."""
+
 IDLE_SECONDS = 30.0
+"""Seconds a kept connection may rest between requests. A choice: longer than the pause between
+two collections of metrics."""
+
 READ_SECONDS = 5.0
+"""Seconds a caller has for the head of a request, and between pieces of its body. A choice."""
 
 
 @dataclass(frozen=True)
 class SmallAnswer:
     """An answer: its status, its body and the body's type."""
 
-    status: int = 200
+    status: int = HTTPStatus.OK.value
     body: bytes = b""
     content_type: bytes = b"application/json"
 
@@ -52,6 +61,7 @@
             while self._serve(stream, reader):
                 pass
         except (OSError, MalformedMessageError, MessageCutError, HeadTooLargeError):
+            # The caller has left, is too slow, or speaks no HTTP: nobody takes an answer.
             pass
         finally:
             stream.close()
--- a/src/cranklane/node/admission.py
+++ b/src/cranklane/node/admission.py
@@ -42,7 +42,7 @@
 class Refusal:
     """Why a call does not run.
 
-    :ivar retry_after_ms: milliseconds after which it may come back; 0 states none.
+    :ivar retry_after_ms: milliseconds after which it may be retried; 0 states none.
     """
 
     reason: Reason
--- a/src/cranklane/node/admission_rule.py
+++ b/src/cranklane/node/admission_rule.py
@@ -1,4 +1,4 @@
-"""Decides which calls are refused at once, how long a call would wait, and when to come back.
+"""Decides which calls are refused at once, how long a call would wait, and when it may be retried.
 
 Owns the rules and their constants; :mod:`~cranklane.node.admission` keeps the counts that
 they take. The sidecar's rules (:mod:`~cranklane.sidecar.admission`) are others: there a
@@ -15,11 +15,11 @@
 service times, so that a short burst is served in its order."""
 
 MIN_RETRY_AFTER_MS = 50
-"""Milliseconds after which a refused call may come back at the earliest. A choice: about one
+"""Milliseconds after which a refused call may be retried at the earliest. A choice: about one
 service time, as assumed before the first one is measured."""
 
 MAX_RETRY_AFTER_MS = 10_000
-"""Milliseconds after which it may come back at the latest. A choice: an estimate of a longer
+"""Milliseconds after which it may be retried at the latest. A choice: an estimate of a longer
 wait is not worth following."""
 
 
@@ -64,7 +64,7 @@
 
 
 def retry_after_ms(wait: float) -> int:
-    """Return the milliseconds after which a refused call may come back.
+    """Return the milliseconds after which a refused call may be retried.
 
     :param wait: seconds it would have waited for a slot.
 
--- a/src/cranklane/node/answer.py
+++ b/src/cranklane/node/answer.py
@@ -64,7 +64,7 @@
 
     :ivar body: pieces of the body; raises AnswerCutError when it is not whole.
         To be read to its end or closed.
-    :ivar retry_after_ms: milliseconds after which a refused call may come back; 0 states none.
+    :ivar retry_after_ms: milliseconds after which a refused call may be retried; 0 states none.
     :ivar attempts: attempts made, the first included.
     """
 
@@ -80,6 +80,6 @@
 def refused(reason: Reason, retry_after_ms: int = 0) -> Answer:
     """Return the answer of a call that was not run.
 
-    :param retry_after_ms: milliseconds after which it may come back; 0 states none.
+    :param retry_after_ms: milliseconds after which it may be retried; 0 states none.
     """
     return Answer(Outcome.NOT_RUN, reason, retry_after_ms=retry_after_ms)
--- a/src/cranklane/node/attempt.py
+++ b/src/cranklane/node/attempt.py
@@ -31,7 +31,7 @@
 long as the answering node waits for a caller that takes no bytes."""
 
 DEFAULT_RETRY_AFTER_MS = 200
-"""Milliseconds after which a refused call may come back when the refusal states no time. A
+"""Milliseconds after which a refused call may be retried when the refusal states no time. A
 choice: long enough for another member to become known."""
 
 _MEMBER_FAULTS = frozenset(
--- a/src/cranklane/node/caller_answer.py
+++ b/src/cranklane/node/caller_answer.py
@@ -6,7 +6,7 @@
 
 import falcon
 
-from cranklane.common import headers as header_names
+from cranklane.common import headers
 from cranklane.common.headers import retry_after_seconds
 from cranklane.errors import AnswerCutError
 from cranklane.node.answer import Answer
@@ -64,20 +64,20 @@
     response.status = falcon.code_to_http_status(answer.status)
     for name, value in answer.headers:
         response.append_header(name, value)
-    response.set_header(header_names.OUTCOME, answer.outcome.label)
+    response.set_header(headers.OUTCOME, answer.outcome.label)
     if answer.attempts > 1:
-        response.set_header(header_names.ATTEMPTS, str(answer.attempts))
+        response.set_header(headers.ATTEMPTS, str(answer.attempts))
 
 
 def write_refusal(response: falcon.Response, answer: Answer) -> None:
     """Write the end of a call that no worker has answered."""
     status = status_of(answer.outcome, answer.reason)
     response.status = falcon.code_to_http_status(status)
-    response.set_header(header_names.OUTCOME, answer.outcome.label)
-    response.set_header(header_names.REASON, answer.reason.label)
-    response.set_header(header_names.ATTEMPTS, str(answer.attempts))
+    response.set_header(headers.OUTCOME, answer.outcome.label)
+    response.set_header(headers.REASON, answer.reason.label)
+    response.set_header(headers.ATTEMPTS, str(answer.attempts))
     if answer.retry_after_ms:
         response.set_header("Retry-After", retry_after_seconds(answer.retry_after_ms))
-        response.set_header(header_names.RETRY_AFTER_MS, str(answer.retry_after_ms))
+        response.set_header(headers.RETRY_AFTER_MS, str(answer.retry_after_ms))
     response.content_type = falcon.MEDIA_TEXT
     response.text = f"{answer.outcome.label}: {answer.reason.label}\n"
--- a/src/cranklane/node/caller_request.py
+++ b/src/cranklane/node/caller_request.py
@@ -10,7 +10,7 @@
 import gevent
 from result import Err, Ok, Result
 
-from cranklane.common import headers as header_names
+from cranklane.common import headers
 from cranklane.common.headers import HOP_BY_HOP, is_own
 from cranklane.node.answer import Request
 from cranklane.outcome import Reason
@@ -50,7 +50,7 @@
             path=path,
             headers=_passed_on(request),
             body=body.ok_value,
-            key=request.get_header(header_names.IDEMPOTENCY_KEY) or "",
+            key=request.get_header(headers.IDEMPOTENCY_KEY) or "",
         )
     )
 
@@ -94,7 +94,7 @@
 
     :param route_ms: what its route allows; a client may only shorten it.
     """
-    text = request.get_header(header_names.DEADLINE_MS)
+    text = request.get_header(headers.DEADLINE_MS)
     if text is None:
         return route_ms
     if not text.isascii() or not text.isdigit() or int(text) < 1:
--- a/src/cranklane/node/callers.py
+++ b/src/cranklane/node/callers.py
@@ -13,7 +13,7 @@
 import gevent
 from result import Err, Ok, Result
 
-from cranklane.common import headers as header_names
+from cranklane.common import headers
 from cranklane.common.http_server import CONNECTION_KEY
 from cranklane.common.secret_digest import secret_digest
 from cranklane.common.units import MILLISECONDS
@@ -99,7 +99,7 @@
         if not self._service:
             return self._client_context(request, call)
         call.caller = self._service
-        token = request.get_header(header_names.CONTEXT)
+        token = request.get_header(headers.CONTEXT)
         if token is not None:
             context = self._contexts.find(token)
             return Ok(context) if context is not None else Err(Reason.BAD_REQUEST)
--- a/src/cranklane/node/once.py
+++ b/src/cranklane/node/once.py
@@ -37,7 +37,7 @@
 """Seconds between these tries. A choice."""
 
 RETRY_AFTER_MS = 1000
-"""Milliseconds after which a once-call may come back, when the ledger does not answer or
+"""Milliseconds after which a once-call may be retried, when the ledger does not answer or
 another attempt is running. A choice: by then the ledger has a leader again."""
 
 _ATTEMPT_BITS = 64
--- a/src/cranklane/node/worker.py
+++ b/src/cranklane/node/worker.py
@@ -14,7 +14,7 @@
 
 from result import Err, Ok, Result
 
-from cranklane.common import headers as header_names
+from cranklane.common import headers
 from cranklane.common.http_client import HttpClient, HttpRequestError, HttpResponse
 from cranklane.common.units import MILLISECONDS
 from cranklane.outcome import Outcome, Reason
@@ -83,11 +83,11 @@
     @staticmethod
     def _headers(call: CallOpen, token: str, timeout: float) -> list[tuple[str, str]]:
         own = [
-            (header_names.CONTEXT, token),
-            (header_names.DEADLINE_MS, str(max(1, int(timeout * MILLISECONDS)))),
+            (headers.CONTEXT, token),
+            (headers.DEADLINE_MS, str(max(1, int(timeout * MILLISECONDS)))),
         ]
         if call.key:
-            own.append((header_names.IDEMPOTENCY_KEY, call.key))
+            own.append((headers.IDEMPOTENCY_KEY, call.key))
         return own + call.headers
 
     def close(self) -> None:
@@ -106,7 +106,7 @@
     """Return whether the worker states that it has not started the work."""
     if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return False
-    wanted = header_names.OUTCOME.lower()
+    wanted = headers.OUTCOME.lower()
     return any(
         name.lower() == wanted and value == Outcome.NOT_RUN.label
         for name, value in response.headers
--- a/src/cranklane/policy/adopted_policy.py
+++ b/src/cranklane/policy/adopted_policy.py
@@ -1,4 +1,7 @@
-"""The configuration in force at a node, read from compiled rows."""
+"""The policy in force at a node, read from compiled rows.
+
+Owns the rows adopted so far; :mod:`~cranklane.distribution.subscription` brings them.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,9 @@
 from cranklane.outcome import Criticality, Repeat
 from cranklane.records.messages import ConfigDelta, RouteRow, ServiceRow, TenantRow
 
+PERMILLE = 1000
+"""Rows state ratios in thousandths."""
+
 CLIENTS = "edge"
 """Name under which a tenant's outside clients stand in ``callers``."""
 
@@ -42,7 +48,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service, its routes in order and who may call it."""
+    """One service, its routes in order and who may call it.
+
+    :ivar slots: calls its worker runs at once at most.
+    :ivar queue: calls that may wait for a slot.
+    :ivar retry_ratio: retries towards it for each call.
+    :ivar calls: full names of the services that it may call.
+    :ivar callers: full names of the services that may call it.
+    :ivar ledgers: ledger groups of its once-calls.
+    """
 
     tenant: str
     name: str
@@ -103,7 +117,7 @@
         slots=row.slots,
         queue=row.queue,
         calls_others=row.depth_below > 0,
-        retry_ratio=row.retry_ratio_permille / 1000,
+        retry_ratio=row.retry_ratio_permille / PERMILLE,
         calls=frozenset(row.calls),
         callers=frozenset(row.callers),
         ledgers=tuple(row.ledgers),
