--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -27,6 +27,7 @@
 from cranklane.sidecar.quarantine.api import QuarantineApi
 from cranklane.sidecar.quarantine.gossip import QuarantineGossip
 from cranklane.sidecar.quarantine.sidecar_directory import SidecarDirectory
+from cranklane.sidecar.readiness_api import ReadinessApi
 from cranklane.sidecar.request.call_tree import CallTree
 from cranklane.sidecar.routing.destinations import Destinations
 from cranklane.sidecar.routing.dispatcher import Dispatcher
@@ -40,7 +41,7 @@
 from cranklane.sidecar.telemetry.decision_log import DecisionLog
 from cranklane.sidecar.telemetry.gauges import GaugeSources, add_gauges
 from cranklane.sidecar.telemetry.metrics import SidecarMetrics
-from cranklane.sidecar.worker.api import ReadinessApi, WorkerApi
+from cranklane.sidecar.worker.api import WorkerApi
 from cranklane.sidecar.worker.condition import Condition, WorkerCondition
 from cranklane.sidecar.worker.discovery import WorkerDiscovery
 from cranklane.sidecar.worker.registry import WorkerRegistry
--- a/src/cranklane/sidecar/worker/api.py
+++ b/src/cranklane/sidecar/worker/api.py
@@ -1,14 +1,14 @@
-"""The HTTP calls of the worker beside a sidecar, and the readiness look.
+"""The HTTP calls of the worker beside a sidecar.
 
-``POST /v1/instances/ID/heartbeat`` with a JSON body of ``service``, ``slots``,
-``phase`` (``ready`` or ``draining``), ``sequence`` and ``cold_remaining_ms``;
-``POST /v1/instances/ID/deregister``; ``GET /v1/ready``.
+``POST /v1/instances/ID/heartbeat`` with a JSON body of ``service``, ``slots``, ``phase``
+(``ready`` or ``draining``), ``sequence`` and ``cold_remaining_ms``, and
+``POST /v1/instances/ID/deregister``. ID names the worker's start.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 from result import Err, Ok, Result
@@ -16,14 +16,14 @@
 from cranklane.common.small_http import SmallAnswer
 from cranklane.sidecar.worker.registry import WorkerHeartbeat, WorkerPhase, WorkerRegistry
 
-READY_PATH = "/v1/ready"
 INSTANCES_PATH = "/v1/instances/"
 
-_NOT_FOUND = SmallAnswer(404, b'{"problem":"no such call"}')
+_TAKEN = SmallAnswer(HTTPStatus.OK, b"{}")
+_NOT_FOUND = SmallAnswer(HTTPStatus.NOT_FOUND, b'{"problem":"no such call"}')
 
 
 class WorkerApi:
-    """Answers the worker."""
+    """Answers the worker and passes its heartbeats to the registry."""
 
     def __init__(self, worker: WorkerRegistry, log: Any) -> None:
         self._worker = worker
@@ -39,16 +39,17 @@
         if call == "deregister":
             self._log.info("worker_deregistered", instance=instance)
             self._worker.deregister(instance)
-            return SmallAnswer(200, b"{}")
+            return _TAKEN
         return _NOT_FOUND
 
     def _heartbeat(self, instance: str, body: bytes) -> SmallAnswer:
         read = read_heartbeat(instance, body)
         if isinstance(read, Err):
             self._log.warning("heartbeat_refused", instance=instance, problem=read.err_value)
-            return SmallAnswer(400, json.dumps({"problem": read.err_value}).encode())
+            problem = json.dumps({"problem": read.err_value})
+            return SmallAnswer(HTTPStatus.BAD_REQUEST, problem.encode())
         self._worker.heartbeat(read.ok_value)
-        return SmallAnswer(200, b"{}")
+        return _TAKEN
 
 
 def read_heartbeat(instance: str, body: bytes) -> Result[WorkerHeartbeat, str]:
@@ -60,18 +61,18 @@
     if not isinstance(value, dict):
         return Err("the body is not an object")
     try:
-        return Ok(
-            WorkerHeartbeat(
-                instance=instance,
-                service=_text(value, "service"),
-                slots=_number(value, "slots"),
-                phase=WorkerPhase(value.get("phase", "ready")),
-                sequence=_number(value, "sequence"),
-                cold_seconds=_number(value, "cold_remaining_ms", 0) / 1000,
-            )
+        heartbeat = WorkerHeartbeat(
+            instance=instance,
+            service=_text(value, "service"),
+            slots=_number(value, "slots"),
+            phase=WorkerPhase(value.get("phase", "ready")),
+            sequence=_number(value, "sequence"),
         )
+        # Part of the call, so it is checked, though nothing here depends on it.
+        _number(value, "cold_remaining_ms", 0)
     except ValueError as error:
         return Err(str(error))
+    return Ok(heartbeat)
 
 
 def _text(value: dict[str, Any], name: str) -> str:
@@ -86,22 +87,3 @@
     if isinstance(found, bool) or not isinstance(found, int | float) or found < 0:
         raise ValueError(f"{name}: found {found!r}; expected a number")
     return int(found)
-
-
-class ReadinessApi:
-    """Answers whether this process takes requests, and its counters.
-
-    :param ready: returns whether it does.
-    :param metrics: returns the counters in the Prometheus text format.
-    """
-
-    def __init__(self, ready: Callable[[], bool]) -> None:
-        self._ready = ready
-
-    def handle(self, method: str, path: str, _body: bytes) -> SmallAnswer:
-        """Answer one call."""
-        if method != "GET" or path != READY_PATH:
-            return _NOT_FOUND
-        if self._ready():
-            return SmallAnswer(200, b'{"ready":true}')
-        return SmallAnswer(503, b'{"ready":false}')
--- a/src/cranklane/sidecar/worker/registry.py
+++ b/src/cranklane/sidecar/worker/registry.py
@@ -1,13 +1,12 @@
-"""What is known of the worker beside this sidecar, from its own heartbeats.
+"""The worker beside this sidecar as its own heartbeats show it: which start, and in which state.
 
-A heartbeat names the worker's start (its instance) and carries a sequence that
-grows with each call, so that one that comes late is recognised. What a worker
-says of its end binds at once: the sidecar is the only way to it.
+Owns the worker's state and the number of slots that are used, and decides when the worker counts
+as leaving, unreachable or lost. A worker that says that it leaves gets nothing from then on: the
+sidecar is the only way to it.
 """
 
 from __future__ import annotations
 
-from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
@@ -19,23 +18,25 @@
 from cranklane.outcome import Reason
 from cranklane.runtime.interface import Address, Runtime, parse_address
 from cranklane.sidecar.admission.slots import Slots
+from cranklane.sidecar.worker.instances import InstanceHistory
 from cranklane.sidecar.worker.pool import WorkerPool
 from cranklane.sidecar.worker.probe import ProbedWorker
 
-USABLE_PART = 0.95
-"""Part of its slots that a worker is given: some get slower when nearly full."""
+USABLE_FRACTION = 0.95
+"""Fraction of its slots that a worker is given. A choice: some workers get slower when nearly
+full."""
 
 SMALL_WORKER_SLOTS = 10
-"""A worker with fewer slots is given all of them."""
+"""A worker with fewer slots is given all of them. A choice: one slot less would cost it
+a tenth or more."""
 
 MISSED_HEARTBEATS = 3.5
-"""Heartbeats in a row whose absence means that the worker is lost."""
+"""Heartbeats in a row whose absence means that the worker is lost. A choice: three that are lost
+or late by chance do not."""
 
-LATE_LOOK = 2.0
-"""Heartbeats' times after which a look at the worker's silence is late: less than those that
-make it lost, and more than a busy process is late by."""
-
-REMEMBERED_INSTANCES = 64
+SUSPENSION_HEARTBEATS = 2.0
+"""Heartbeats' times between two checks from which this machine is taken to have stood still. A
+choice: less than those that make a worker lost, and more than a busy process is late by."""
 
 
 class WorkerPhase(Enum):
@@ -48,8 +49,8 @@
 class WorkerState(Enum):
     """Whether requests may go to the worker."""
 
-    UNHEARD = "unheard"
-    """Nothing was heard since this process started."""
+    UNKNOWN = "unheard"
+    """Nothing was received from it since this process started. The value stands in logs."""
     READY = "ready"
     DRAINING = "draining"
     UNREACHABLE = "unreachable"
@@ -57,7 +58,7 @@
     LOST = "lost"
     """Its heartbeats have stopped."""
     GONE = "gone"
-    """It said that it ends."""
+    """It deregistered."""
 
 
 _MEMBER_STATES = {
@@ -68,14 +69,17 @@
 
 @dataclass(frozen=True)
 class WorkerHeartbeat:
-    """One heartbeat of a worker."""
+    """One heartbeat of a worker.
+
+    :ivar slots: requests that it can run at once.
+    :ivar sequence: grows with each heartbeat of one start.
+    """
 
     instance: str
     service: str
     slots: int
     phase: WorkerPhase
     sequence: int
-    cold_seconds: float = 0.0
 
 
 class WorkerRegistry:
@@ -83,9 +87,10 @@
 
     :param service: the service this machine belongs to.
     :param heartbeat_seconds: time between a worker's heartbeats.
+    :param slots: resized to what the worker can run.
     :param on_change: called when what others should know has changed.
     :ivar address: where it listens; None where this machine has no worker.
-    :ivar instance: the worker's newest start; empty when none was heard.
+    :ivar instance: the worker's newest start; empty while none is known.
     """
 
     def __init__(
@@ -104,13 +109,12 @@
         self._slots = slots
         self._on_change = on_change
         self._log = log
-        self._heard_at = 0.0
-        self._sequences: OrderedDict[str, int] = OrderedDict()
-        self._ended: OrderedDict[str, None] = OrderedDict()
+        self._last_heartbeat_at = 0.0
+        self._instances = InstanceHistory()
         self.pool = WorkerPool(runtime, self.address) if self.address else None
         self.service = service
         self.instance = ""
-        self.state = WorkerState.UNHEARD
+        self.state = WorkerState.UNKNOWN
 
     @property
     def member_state(self) -> MemberState:
@@ -125,23 +129,22 @@
     def heartbeat(self, heartbeat: WorkerHeartbeat) -> None:
         """Take a heartbeat; one that is older than what is known changes nothing."""
         instance = heartbeat.instance
-        if heartbeat.sequence <= self._sequences.get(instance, -1):
+        if not self._instances.advance(instance, heartbeat.sequence):
             return
-        self._remember(self._sequences, instance, heartbeat.sequence)
         if instance != self.instance:
             if self._is_superseded(instance):
                 return
             self._take_instance(instance)
-        self._heard_at = self._runtime.monotonic()
-        if instance in self._ended:
+        self._last_heartbeat_at = self._runtime.monotonic()
+        if self._instances.has_ended(instance):
             return
         self.service = heartbeat.service
-        usable = _usable(heartbeat.slots)
+        usable = usable_slots(heartbeat.slots)
         if usable != self._slots.limit:
             self._slots.resize(usable)
             self._on_change()
         if heartbeat.phase is WorkerPhase.DRAINING:
-            self._end(instance, WorkerState.DRAINING)
+            self._mark_leaving(instance, WorkerState.DRAINING)
         else:
             self._set_state(WorkerState.READY)
 
@@ -150,8 +153,8 @@
         if self.instance:
             return
         self._take_instance(worker.instance)
-        self._heard_at = self._runtime.monotonic()
-        self._slots.resize(_usable(worker.slots))
+        self._last_heartbeat_at = self._runtime.monotonic()
+        self._slots.resize(usable_slots(worker.slots))
         self._set_state(WorkerState.READY)
 
     def deregister(self, instance: str) -> None:
@@ -159,12 +162,12 @@
         if not self.instance:
             self._take_instance(instance)
         if instance == self.instance:
-            self._end(instance, WorkerState.GONE)
+            self._mark_leaving(instance, WorkerState.GONE)
         else:
-            self._remember(self._ended, instance, None)
+            self._instances.end(instance)
 
-    def _end(self, instance: str, state: WorkerState) -> None:
-        self._remember(self._ended, instance, None)
+    def _mark_leaving(self, instance: str, state: WorkerState) -> None:
+        self._instances.end(instance)
         if self.state is WorkerState.GONE:
             return
         self._set_state(state)
@@ -180,43 +183,36 @@
         if instance and instance != self.instance:
             self._log.warning("worker_replaced", known=self.instance, answered=instance)
             self._set_state(WorkerState.UNREACHABLE)
-            self._sequences.pop(instance, None)
+            self._instances.forget_sequence(instance)
 
     def watch(self) -> None:
         """Notice when heartbeats stop, for ever."""
-        looked_at = self._runtime.monotonic()
+        period = self._heartbeat_seconds
+        checked_at = self._runtime.monotonic()
         while True:
-            gevent.sleep(self._heartbeat_seconds)
+            gevent.sleep(period)
             now = self._runtime.monotonic()
-            if now - looked_at > LATE_LOOK * self._heartbeat_seconds:
-                # This machine stood still, and the worker with it: its silence tells nothing.
-                self._heard_at = now
-            looked_at = now
-            silent = now - self._heard_at
-            if silent > MISSED_HEARTBEATS * self._heartbeat_seconds and self.state in (
-                WorkerState.READY,
-                WorkerState.UNREACHABLE,
-            ):
+            if was_suspended(now - checked_at, period):
+                # The worker stood still as well: its silence says nothing of it.
+                self._last_heartbeat_at = now
+            checked_at = now
+            if is_lost(self.state, now - self._last_heartbeat_at, period):
                 self._set_state(WorkerState.LOST)
 
     def _is_superseded(self, instance: str) -> bool:
         """Return whether an instance other than the current one is an older one."""
         if not self.instance:
             return False
-        if instance in self._ended:
+        if self._instances.has_ended(instance):
             return True
         if self.state not in (WorkerState.READY, WorkerState.DRAINING):
             return False
-        # Instances stand in the order in which they were first heard.
-        for known in self._sequences:
-            if known in (instance, self.instance):
-                return known == instance
-        return False
+        return self._instances.is_older(instance, self.instance)
 
     def _take_instance(self, instance: str) -> None:
         self._log.info("worker_instance", instance=instance, former=self.instance)
         self.instance = instance
-        self.state = WorkerState.UNHEARD
+        self.state = WorkerState.UNKNOWN
         if self.pool is not None:
             self.pool.close_idle()
         self._on_change()
@@ -230,17 +226,28 @@
         self.state = state
         self._on_change()
 
-    @staticmethod
-    def _remember(known: OrderedDict[str, Any], instance: str, value: Any) -> None:
-        known[instance] = value
-        while len(known) > REMEMBERED_INSTANCES:
-            known.popitem(last=False)
+
+def was_suspended(seconds: float, heartbeat_seconds: float) -> bool:
+    """Return whether this machine stood still between two checks of the worker's silence.
+
+    :param seconds: between the two checks, by a clock that counts a suspension.
+    """
+    return seconds > SUSPENSION_HEARTBEATS * heartbeat_seconds
+
+
+def is_lost(state: WorkerState, silent_seconds: float, heartbeat_seconds: float) -> bool:
+    """Return whether a worker's silence means that it is lost.
+
+    Only one that could get requests can be lost: others have said why they are silent.
+    """
+    in_use = state in (WorkerState.READY, WorkerState.UNREACHABLE)
+    return in_use and silent_seconds > MISSED_HEARTBEATS * heartbeat_seconds
 
 
-def _usable(slots: int) -> int:
+def usable_slots(slots: int) -> int:
     """Return how many of a worker's slots are used.
 
-    >>> _usable(4), _usable(14), _usable(44)
+    >>> usable_slots(4), usable_slots(14), usable_slots(44)
     (4, 13, 41)
     """
-    return slots if slots < SMALL_WORKER_SLOTS else int(slots * USABLE_PART)
+    return slots if slots < SMALL_WORKER_SLOTS else int(slots * USABLE_FRACTION)
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -94,7 +94,7 @@
     ),
     "drain fence": (
         WorkerRegistry,
-        "_end",
+        "_mark_leaving",
         no_end,
         test_mesh_workers.test_a_draining_worker_gets_nothing_once_that_is_acknowledged,
     ),
