--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -9,6 +9,7 @@
 
 from cranklane.common.logs import logger
 from cranklane.common.units import MILLISECONDS
+from cranklane.distribution.follower import Follower
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.subscription import Subscription
 from cranklane.ledger.service import LedgerService
@@ -116,9 +117,7 @@
             identity,
             AdoptedPolicy(),
             self.runtime.storage(f"{settings.data}/{_SUBSCRIPTION_FOLDER}"),
-            lambda _delta: None,
-            lambda: None,
-            lambda: Heartbeat(state=MemberState.LIVE),
+            Follower(lambda: Heartbeat(state=MemberState.LIVE)),
             self._log,
         )
 
--- a/src/cranklane/node/process.py
+++ b/src/cranklane/node/process.py
@@ -10,6 +10,7 @@
 from cranklane.common.http_server import HttpServer
 from cranklane.common.logs import logger
 from cranklane.common.units import MILLISECONDS
+from cranklane.distribution.follower import Follower
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.subscription import Subscription
 from cranklane.node.admin import Admin, AdminView
@@ -173,9 +174,11 @@
             identity,
             self.configuration,
             self._runtime.storage(settings.data),
-            self._members_changed,
-            self._configuration_changed,
-            lambda: Heartbeat(state=self.state()),
+            Follower(
+                lambda: Heartbeat(state=self.state()),
+                self._members_changed,
+                self._configuration_changed,
+            ),
             self._log,
         )
 
--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -13,8 +13,9 @@
 
 from cranklane.common.addresses import peer_addresses
 from cranklane.common.units import MICROSECONDS
+from cranklane.distribution.follower import Follower, FollowTiming
 from cranklane.distribution.member_state import MemberState
-from cranklane.distribution.subscription import FollowTiming, Subscription
+from cranklane.distribution.subscription import Subscription
 from cranklane.records.messages import (
     Heartbeat,
     HeartbeatAnswer,
@@ -88,12 +89,9 @@
             own.subscription(),
             state.table,
             None,
-            self._take_members,
-            lambda: None,
-            self._heartbeat,
+            Follower(self._heartbeat, self._take_members, on_answer=self._take_answer),
             log,
             TIMING,
-            self._take_answer,
         )
 
     @property
