--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -1,4 +1,20 @@
-"""Decides at the ingress whose request one is, and whether its tenant may send it."""
+"""Decides whose request one is, and whether its tenant may send it now.
+
+======================================  =================================================
+request                                 decision
+======================================  =================================================
+no tenants, or the route is public      admitted; counts against no rate
+without a key, of a run here            admitted as the run's tenant; counts against none
+without a key, of an unknown run        refused: the run may have begun before this process
+without a key otherwise                 refused as unauthenticated
+key, table possibly out of date         refused: the key may have been revoked
+unknown key                             refused as unauthenticated
+key of a tenant over its rate           refused until its excess has passed
+key otherwise                           admitted; counts against the tenant's rate
+======================================  =================================================
+
+Relies on the table lease for whether keys can be trusted, and on the quota for rates.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +40,7 @@
     """Who sends a request.
 
     :ivar tenant: name of the tenant; empty where the route needs no key.
-    :ivar priority: of the request, its tenant's before its route's; 0 first.
+    :ivar priority: of the request, 0 first; the tenant's, if it has one, or the route's.
     :ivar limited: whether it counts against the tenant's rate.
     """
 
@@ -37,8 +53,8 @@
 class IngressRefusal:
     """A request that was refused before it was sent anywhere, and what decided it.
 
-    :ivar tenant: whose it is, where that is known.
-    :ivar permille: part of the tenant's requests that is admitted, in thousandths.
+    :ivar tenant: whose it is; empty where that is not known.
+    :ivar permille: fraction of the tenant's requests that is admitted, in thousandths.
     :ivar table_age: seconds since the table in force was certainly the newest.
     """
 
@@ -52,8 +68,8 @@
 class Authentication:
     """Checks the API keys of clients' requests.
 
-    :param lease: tells whether the table in force can be trusted.
-    :param on_refusal: told of each request that is refused here.
+    :param lease: whether the table in force can be trusted.
+    :param on_refusal: called with each request that is refused here.
     """
 
     def __init__(
@@ -73,6 +89,7 @@
     ) -> Result[Caller, Reply]:
         """Return who sends a request, or the answer that refuses it.
 
+        :param head: holds the key, if one was sent.
         :param request: id of the request.
         :param run: the run of this machine's worker that makes the call, if one does.
         """
@@ -95,7 +112,7 @@
     def _identify_call(
         self, request: str, table: RouteTable, route: Route, run: Run | None
     ) -> Result[Caller, Reply]:
-        """Return whose call one without a key is: that of the tenant it is made for."""
+        """Return who makes a call without a key: the tenant for which its run is done."""
         if run is not None:
             return Ok(Caller(run.tenant, table.priority_of(route, None)))
         if ID_SEPARATOR in request:
@@ -112,13 +129,13 @@
         return Err(refusal(reason, retry_after_ms=retry_after_ms))
 
     def not_run(self, caller: Caller) -> None:
-        """Take that a request that was admitted has not run: it does not count."""
+        """Take that an admitted request has not run: it does not count against the rate."""
         if caller.limited:
             self._quota.returned(caller.tenant)
 
 
 def identity_line(names: HeaderNames, caller: Caller) -> bytes:
-    """Return the header that tells a worker whose request it runs."""
+    """Return the header that names the tenant to the worker; nothing without a tenant."""
     if not caller.tenant:
         return b""
     return b"%s: %s\r\n" % (names.tenant, caller.tenant.encode())
--- a/src/cranklane/sidecar/ingress/caller_connection.py
+++ b/src/cranklane/sidecar/ingress/caller_connection.py
@@ -1,4 +1,7 @@
-"""One caller's connection and the request under way on it."""
+"""One caller's connection and the request under way on it.
+
+Owns how much of a body has been read and how much may still come.
+"""
 
 from __future__ import annotations
 
@@ -18,11 +21,18 @@
 from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
 
 DISCARD_SECONDS = 2.0
-"""Time in which the rest of a body is read and thrown away after an early answer."""
+"""Seconds in which the rest of a body is read and thrown away after an early answer. A choice: a
+caller that is sending reads the answer well within it."""
+
+_DISCARD_BYTES = 64 * 1024
 
 
 class CallerConnection:
-    """One caller's connection and the request under way on it."""
+    """One caller's connection and the request under way on it.
+
+    :ivar body: what of the request's body has been read and is kept.
+    :ivar body_whole: whether that is all of it.
+    """
 
     def __init__(self, runtime: Runtime, stream: Any, table: RouteTable) -> None:
         self._runtime = runtime
@@ -30,7 +40,7 @@
         self.reader = RequestReader(stream, table.limits.max_header_bytes)
         self.body = b""
         self.body_whole = True
-        self._left = 0
+        self._bytes_allowed = 0
 
     def next_head(self, idle_seconds: float, head_seconds: float) -> RequestHead | None:
         """Return the next request's head, or None at the end.
@@ -41,22 +51,25 @@
         self.body_whole = True
         return self.reader.next_head(idle_seconds, head_seconds, self._runtime.monotonic)
 
-    def read_body(self, size: int, most: int) -> None:
-        """Read the body up to a size.
+    def read_body(self, kept_bytes: int, max_bytes: int) -> None:
+        """Read the body until it ends or a number of bytes is there.
 
-        :raises HeadTooLargeError: when more than ``most`` bytes came.
+        :param kept_bytes: after so many no further piece is read.
+        :raises HeadTooLargeError: when more than ``max_bytes`` came, also later on.
+        :raises MalformedMessageError: when its framing is broken.
+        :raises MessageCutError: when the connection ends before it does.
         """
-        self._left = most
+        self._bytes_allowed = max_bytes
         self.body, self.body_whole = self.reader.body_so_far()
-        while not self.body_whole and len(self.body) < size:
+        while not self.body_whole and len(self.body) < kept_bytes:
             piece = self.reader.next_piece()
             self.body_whole = not piece
             self.body += piece
         self._count(len(self.body))
 
     def _count(self, size: int) -> None:
-        self._left -= size
-        if self._left < 0:
+        self._bytes_allowed -= size
+        if self._bytes_allowed < 0:
             raise HeadTooLargeError
 
     def next_piece(self) -> bytes:
@@ -65,16 +78,17 @@
         self._count(len(piece))
         return piece
 
-    def read_rest(self) -> bool:
+    def skip_body(self) -> bool:
         """Read a small body that nobody wants; return whether that was all of it."""
         try:
             self.read_body(SMALL_BODY_BYTES, SMALL_BODY_BYTES)
         except (HeadTooLargeError, MalformedMessageError, MessageCutError, OSError):
+            # Its answer is known already; only the connection is of no further use.
             return False
         return self.body_whole
 
     def end_request(self) -> None:
-        """Make ready for the next request."""
+        """Get ready for the next request."""
         self.reader.finish()
 
     def send(self, data: bytes) -> None:
@@ -82,20 +96,21 @@
         self.stream.sendall(data)
 
     def discard(self) -> None:
-        """End sending, and read what still comes for a while.
+        """Stop sending, and read what still comes for a while.
 
-        A close with unread bytes would reset the connection, and the answer
-        could be lost with it.
+        Closing with unread bytes would reset the connection, and the caller could lose the
+        answer with it.
         """
         try:
             self.stream.shutdown(1)
             with gevent.Timeout(DISCARD_SECONDS, False):
                 self.stream.settimeout(DISCARD_SECONDS)
-                while self.stream.recv(65536):
+                while self.stream.recv(_DISCARD_BYTES):
                     pass
         except OSError:
+            # The caller has closed its side: nothing is left to read.
             pass
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection at once."""
         self.stream.close()
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -181,7 +181,7 @@
 
     def _refuse(self, connection: CallerConnection, request: CallerRequest, reply: Reply) -> bool:
         """Answer a request that is sent nowhere; return whether the connection stays."""
-        keep = request.head.keep_alive and not self.stopping and connection.read_rest()
+        keep = request.head.keep_alive and not self.stopping and connection.skip_body()
         status = self._writer.write_unanswered(connection, request, reply, keep)
         self._on_decision(self._decision_of_refused(request, reply, status))
         return self._end_request(connection, keep)
--- a/src/cranklane/sidecar/table/adopted_table.py
+++ b/src/cranklane/sidecar/table/adopted_table.py
@@ -1,4 +1,7 @@
-"""The route table in force at a sidecar."""
+"""The route table in force at a sidecar, kept up to date from control's deltas.
+
+Owns the table and its revision. A table is replaced as a whole, so that a request sees one state.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +15,14 @@
 from cranklane.routes.rows import with_rows
 from cranklane.routes.table import RouteTable
 
+MAX_PROBLEMS = 3
+"""Problems of an unreadable table that are logged. A choice: the first ones tell the cause."""
+
 
 class AdoptedTable:
     """Takes tables from control in order and never steps back.
 
+    :param on_adopt: called after each delta, also one without rows.
     :ivar version: revision of the newest table in force; 0 before the first.
     :ivar table: that table.
     """
@@ -39,7 +46,8 @@
     def _take(self, delta: ConfigDelta) -> None:
         read = self._read(delta)
         if isinstance(read, Err):
-            # Control checks each table with this very code before it is taken.
+            # Control checks each table with the same code, so this is a fault of the program.
+            # The table in force stays.
             self._log.error("route_table_unreadable", problem=read.err_value)
             return
         self.table = read.ok_value
@@ -57,4 +65,4 @@
             return with_rows(self.table, delta.rows)
         whole = next(row.value for row in delta.rows if row.key == ROUTE_TABLE_ROW)
         read = read_json(unpack_document(whole)).and_then(read_table)
-        return read.map_err(lambda problems: "; ".join(problems[:3]))
+        return read.map_err(lambda problems: "; ".join(problems[:MAX_PROBLEMS]))
--- a/src/cranklane/sidecar/table/table_lease.py
+++ b/src/cranklane/sidecar/table/table_lease.py
@@ -1,9 +1,9 @@
-"""Until when the route table in force here may be trusted to be the newest.
+"""Decides how long the route table in force here may be trusted to be the newest.
 
-A key that an operator takes away must run nowhere after a stated time, also at a sidecar
-that is cut off from control. So requests with a key are served only while a controller
-has confirmed, lately enough, that no newer table is in force. What counts is the moment
-at which the confirmation was asked for: an answer may have been under way for long.
+A key that an operator has revoked must run nowhere after a stated time, also at a sidecar that
+is cut off from control. So requests with a key are served only while a controller has confirmed
+recently enough that no newer table is in force. What counts is the moment at which the
+confirmation was asked for: its answer may have been under way for long.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from cranklane.sidecar.table.adopted_table import AdoptedTable
 
 CLOCK_MARGIN = 0.05
-"""Part of the time after which a revocation must hold that is kept in reserve: two steady
-clocks may differ in rate by less than this."""
+"""Fraction of the time after which a revocation must hold that is kept in reserve. A choice: the
+steady clocks of two machines differ in rate by far less."""
 
 
 class TableLease:
@@ -24,7 +24,7 @@
 
     :param clock: monotonic seconds.
     :param revocation_seconds: after its acknowledgement, a revocation must hold everywhere
-        after this time; 0: it need not hold at sidecars that are out of touch.
+        after these seconds; 0: it need not hold at sidecars that are out of touch.
     """
 
     def __init__(self, clock: Callable[[], float], revocation_seconds: float) -> None:
@@ -37,6 +37,8 @@
     def confirmed(self, newest_at: float, revision: int, in_force: int) -> None:
         """Take that a revision was the newest at a moment of this process's clock.
 
+        :param newest_at: that moment, in monotonic seconds.
+        :param revision: the revision that was confirmed.
         :param in_force: the revision in force here; an older one waits for :meth:`adopted`.
         """
         if in_force >= revision:
--- a/src/cranklane/sidecar/telemetry/decision_log.py
+++ b/src/cranklane/sidecar/telemetry/decision_log.py
@@ -1,8 +1,8 @@
 """Logs and counts what a sidecar decides about requests.
 
-Each refused, failed or late request, and each attempt that did not end in an answer,
-has a line while the rate allows; of those that went well a sample has one. The
-lines of one request share its id at every sidecar that it passed.
+Each refused, failed or late request, and each attempt without an answer, has a line while the
+rate allows; of those that went well a sample has one. All lines of one request bear its id, at
+every sidecar that it passed. Counters and the summary of each second leave nothing out.
 """
 
 from __future__ import annotations
@@ -25,15 +25,29 @@
 from cranklane.sidecar.worker.exit import WorkerExit
 
 PROBLEM_LINES_PER_SECOND = 100.0
+"""Lines a second on problems. A choice: enough to follow an incident, and a bound on the disk."""
+
 SUCCESS_LINES_PER_SECOND = 10.0
+"""Lines a second on requests that went well. A choice: a sample to compare problems with."""
+
 SUMMARY_SECONDS = 5.0
+"""Seconds between the lines that count what was left out, and the longest that a request waits
+for its summary. A choice."""
 
 MAX_RUNS_IN_LINE = 100
-"""Runs named in one line at the end of a worker; their number is always told."""
+"""Runs named in one line on a worker's exit; their number is always there. A choice: a line stays
+readable, and few workers run more at once."""
+
+
+MAX_AGE_SECONDS = 1_000_000.0
+"""Age of a table from which a line has none: it was never confirmed."""
 
 
 class DecisionLog:
-    """Writes decision lines within their rates."""
+    """Writes decision lines within their rates, and counts each decision.
+
+    :param clock: monotonic seconds.
+    """
 
     def __init__(self, clock: Callable[[], float], metrics: SidecarMetrics, log: Any) -> None:
         self._clock = clock
@@ -109,7 +123,7 @@
             reason=refusal.reason.label,
             tenant=refusal.tenant,
             admitted_permille=refusal.permille,
-            table_age=round(refusal.table_age, 2) if refusal.table_age < 1e6 else None,
+            table_age=round(refusal.table_age, 2) if refusal.table_age < MAX_AGE_SECONDS else None,
         )
 
     def admission(
@@ -130,7 +144,7 @@
         )
 
     def quarantined(self, call: Call, identity: Identity, seconds_left: float) -> None:
-        """Take that a request of this machine's callers is held."""
+        """Take that a request of this machine's callers is quarantined."""
         if not self._problems.allows():
             return
         self._log.info(
@@ -142,7 +156,7 @@
         )
 
     def worker_exited(self, exited: WorkerExit) -> None:
-        """Take that the worker's process has ended, and what it was running."""
+        """Take that the worker's process has exited, and what it was running."""
         self._metrics.worker_exited(exited.planned)
         self._log.warning(
             "worker_ended",
--- a/src/cranklane/sidecar/telemetry/metrics.py
+++ b/src/cranklane/sidecar/telemetry/metrics.py
@@ -1,7 +1,8 @@
 """Counters and histograms of one sidecar, in the Prometheus text format.
 
-A request is counted several times on its way, so counting is a plain addition; the
-library's families are made only when somebody asks for the figures.
+A request is counted several times on its way, so counting is a plain addition; the library's
+metric families are made only when somebody asks for the figures. Names, help texts and labels
+are part of the operators' interface.
 """
 
 from __future__ import annotations
@@ -15,13 +16,16 @@
 
 from cranklane.common.metrics_server import GaugeRegistry
 from cranklane.outcome import Outcome, Reason
+from cranklane.sidecar.request.decision import Decision
 from cranklane.sidecar.request.slot_work import SlotWork
 
-_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+_BUCKET_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
+"""Upper bounds of the histograms' buckets, in seconds. A choice: from well below an objective to
+above most deadlines, about as dense as the library's defaults."""
 
 Labels = tuple[str, ...]
 Key = tuple[str | int | Outcome | Reason, ...]
-"""Values of a counter's labels, made into texts only when they are told."""
+"""Values of a counter's labels, made into texts only when they are asked for."""
 
 
 def _label(value: str | int | Outcome | Reason) -> str:
@@ -51,17 +55,17 @@
 class _Distribution:
     """Observations by bucket; the last bucket has no bound."""
 
-    counts: list[int] = field(default_factory=lambda: [0] * (len(_SECONDS) + 1))
+    counts: list[int] = field(default_factory=lambda: [0] * (len(_BUCKET_SECONDS) + 1))
     total: float = 0.0
 
     def observe(self, seconds: float) -> None:
         """Count one observation."""
-        self.counts[bisect_left(_SECONDS, seconds)] += 1
+        self.counts[bisect_left(_BUCKET_SECONDS, seconds)] += 1
         self.total += seconds
 
     def buckets(self) -> list[tuple[str, float]]:
         """Return each bound with the observations up to it."""
-        bounds = [*(str(bound) for bound in _SECONDS), "+Inf"]
+        bounds = [*(str(bound) for bound in _BUCKET_SECONDS), "+Inf"]
         up_to = 0
         cumulated = []
         for bound, count in zip(bounds, self.counts, strict=True):
@@ -145,15 +149,14 @@
         """Add a gauge that is read when it is asked for."""
         self._gauges.add(name, text, read)
 
-    def request(self, decision: Any) -> None:
-        """Count a request that has ended; takes an ``decision.Decision``."""
-        outcome: Outcome = decision.outcome
+    def request(self, decision: Decision) -> None:
+        """Count a request that has ended."""
         service = decision.service
-        self._requests.values[service, outcome, decision.reason, decision.status] += 1
+        self._requests.values[service, decision.outcome, decision.reason, decision.status] += 1
         self._request_seconds[service].observe(decision.seconds)
 
     def work(self, work: SlotWork, end: Enum) -> None:
-        """Count what a client's request has cost; takes a ``request_summary.End``."""
+        """Count what a client's request has cost, by how it ended (``request_summary.End``)."""
         for service, milliseconds in work:
             self._work.values[service, end.value] += milliseconds
 
@@ -172,7 +175,7 @@
             self._queue_seconds.observe(waited)
 
     def worker_exited(self, planned: bool) -> None:
-        """Count an end of the worker's process."""
+        """Count an exit of the worker's process."""
         self._worker_exits.values[("yes" if planned else "no",)] += 1
 
     def lines_left_out(self, count: int) -> None:
--- a/src/cranklane/sidecar/telemetry/request_summary.py
+++ b/src/cranklane/sidecar/telemetry/request_summary.py
@@ -1,8 +1,8 @@
-"""What became of the clients' requests of each second, and of the work done for them.
+"""Sums up each second's ended requests of clients, and the work that was done for them.
 
-Lines of single requests are bounded in number, so they cannot be added up. One line a
-second can: it counts the requests that ended, by route, end and cause, and sums the
-time that workers spent for them by whether it was of use to anybody.
+The number of lines for single requests is limited, so they cannot be added up. One line a second
+can: it counts the requests that ended, by route, end and cause, and sums the time that workers
+spent on them by how they ended.
 """
 
 from __future__ import annotations
@@ -11,18 +11,19 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
+from http import HTTPStatus
 from typing import Any
 
 from cranklane.outcome import Outcome, Reason
 from cranklane.sidecar.request.decision import Decision
 
 LINE_SECONDS = 1.0
-"""Seconds that one line covers: short enough to tell a fault from what follows it."""
+"""Seconds that one line covers. A choice: short enough to tell a fault from what follows it."""
 
 RUN_FAILED = "run_failed"
 """Cause of a request whose worker answered with an error though no call of it failed."""
 
-_FIRST_ERROR = 500
+_FIRST_SERVER_ERROR = HTTPStatus.INTERNAL_SERVER_ERROR.value
 
 
 class End(Enum):
@@ -31,15 +32,16 @@
     IN_TIME = "in_time"
     LATE = "late"
     REFUSED = "refused"
-    """It has not run, and its client was told so."""
+    """It has not run, and its answer says so."""
     FAILED = "failed"
+    """It may have run; its answer is an error."""
     LEFT = "left"
     """Its client left before it ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class Cause:
-    """What a request ended for.
+    """Why a request was refused or failed.
 
     :ivar service: where it was refused or failed; empty when it was served.
     """
@@ -54,14 +56,14 @@
         return End.LEFT
     if decision.outcome is Outcome.NOT_RUN:
         return End.REFUSED
-    if decision.outcome is Outcome.UNKNOWN or decision.status >= _FIRST_ERROR:
+    if decision.outcome is Outcome.UNKNOWN or decision.status >= _FIRST_SERVER_ERROR:
         return End.FAILED
     late = decision.seconds > decision.objective_seconds > 0
     return End.LATE if late else End.IN_TIME
 
 
 def cause_of(decision: Decision, end: End) -> Cause:
-    """Return what a request was refused or failed for, as deep in its tree as is known."""
+    """Return why a request was refused or failed, as deep in its tree as is known."""
     if end not in (End.REFUSED, End.FAILED):
         return Cause()
     if decision.failure is not None:
--- /dev/null
+++ b/tests/test_sidecar_rules.py
@@ -0,0 +1,305 @@
+"""The rules of a sidecar's parts, each by its table."""
+
+from __future__ import annotations
+
+from types import SimpleNamespace
+
+import pytest
+
+from cranklane.common.http1.message import (
+    Framing,
+    HeadTooLargeError,
+    MalformedMessageError,
+    MessageCutError,
+    RequestHead,
+)
+from cranklane.outcome import Outcome, Reason
+from cranklane.routes.table import Limits
+from cranklane.sidecar.ingress.caller_request import (
+    UnreadableRequestError,
+    read_body,
+    read_head,
+)
+from cranklane.sidecar.planned_stop import StopTimes, stop_times
+from cranklane.sidecar.request.call_tree import CallFailure
+from cranklane.sidecar.request.decision import Decision
+from cranklane.sidecar.request.slot_work import SlotWork
+from cranklane.sidecar.telemetry.request_summary import Cause, End, cause_of, end_of
+from cranklane.sidecar.worker.condition import WELL, Condition, should_report
+from cranklane.sidecar.worker.fault_ratio import FaultRatio
+from cranklane.sidecar.worker.instances import InstanceHistory
+from cranklane.sidecar.worker.pool import WorkerPool
+from cranklane.sidecar.worker.registry import WorkerState, is_lost, usable_slots, was_suspended
+from cranklane.sidecar.worker.slowness import ExpectedLatencies, Slowness
+
+# The worker.
+
+
+@pytest.mark.parametrize(
+    ("reported", "age", "current", "expected"),
+    [
+        (WELL, 1.0, Condition(0.16, 1.0), True),
+        (WELL, 1.0, Condition(0.14, 1.0), False),
+        (WELL, 1.0, Condition(0.0, 3.1), True),
+        (WELL, 1.0, Condition(0.0, 2.9), False),
+        # Callers believe about the same by themselves, as what was reported decays.
+        (Condition(0.8, 1.0), 3.0, Condition(0.4, 1.0), False),
+        (Condition(0.8, 1.0), 3.0, Condition(0.8, 1.0), True),
+        # A recovery is reported once it is certain on both sides.
+        (Condition(0.2, 1.0), 3.0, WELL, False),
+        (Condition(0.2, 1.0), 7.0, WELL, True),
+        (WELL, 7.0, WELL, False),
+    ],
+)
+def test_a_condition_is_reported_when_callers_believe_something_else(
+    reported, age, current, expected
+):
+    assert should_report(reported, age, current) is expected
+
+
+def test_a_fault_ratio_follows_the_last_runs_and_decays():
+    ratio = FaultRatio()
+    for _ in range(50):
+        ratio.sample(10.0, True)
+    assert ratio.at(10.0) == pytest.approx(1.0, abs=0.01)
+    assert ratio.at(13.0) == pytest.approx(0.5, abs=0.01)
+    ratio.sample(10.0, False)
+    assert ratio.at(10.0) == pytest.approx(0.9, abs=0.01)
+
+
+def test_a_slow_worker_counts_as_slow_until_it_was_idle_for_a_while():
+    slowness = Slowness()
+    for _ in range(50):
+        slowness.sample(10.0, 100.0)
+    assert slowness.at(10.0) == pytest.approx(16.0, abs=0.1)
+    assert slowness.at(16.0) == pytest.approx(8.5, abs=0.1)
+
+
+def test_one_slow_run_hardly_raises_what_is_expected():
+    latencies = ExpectedLatencies()
+    latencies.ratio("r", 0.1)
+    latencies.ratio("r", 1.1)
+    assert latencies.of("r") == pytest.approx(0.15)
+    latencies.ratio("r", 0.05)
+    assert latencies.of("r") == pytest.approx(0.14)
+
+
+@pytest.mark.parametrize(
+    ("state", "silent", "lost"),
+    [
+        (WorkerState.READY, 5.3, True),
+        (WorkerState.READY, 5.2, False),
+        (WorkerState.UNREACHABLE, 5.3, True),
+        (WorkerState.DRAINING, 60.0, False),
+        (WorkerState.GONE, 60.0, False),
+        (WorkerState.UNKNOWN, 60.0, False),
+        (WorkerState.LOST, 60.0, False),
+    ],
+)
+def test_a_worker_in_use_is_lost_after_three_and_a_half_heartbeats(state, silent, lost):
+    assert is_lost(state, silent, heartbeat_seconds=1.5) is lost
+
+
+@pytest.mark.parametrize(("seconds", "suspended"), [(1.5, False), (3.0, False), (3.1, True)])
+def test_a_late_check_means_that_the_machine_stood_still(seconds, suspended):
+    assert was_suspended(seconds, heartbeat_seconds=1.5) is suspended
+
+
+@pytest.mark.parametrize(("slots", "usable"), [(1, 1), (9, 9), (10, 9), (20, 19), (100, 95)])
+def test_a_larger_worker_keeps_some_slots_free(slots, usable):
+    assert usable_slots(slots) == usable
+
+
+def test_a_start_that_was_forgotten_comes_as_a_new_one():
+    history = InstanceHistory()
+    assert history.advance("a", 5)
+    assert history.advance("b", 1)
+    assert history.is_older("a", "b")
+    assert not history.advance("a", 5)
+    history.forget_sequence("a")
+    assert history.advance("a", 5)
+    assert not history.is_older("a", "b")
+
+
+def test_a_start_that_left_is_remembered_among_64():
+    history = InstanceHistory()
+    history.end("gone")
+    for number in range(63):
+        history.end(str(number))
+    assert history.has_ended("gone")
+    history.end("one more")
+    assert not history.has_ended("gone")
+
+
+@pytest.mark.parametrize(
+    ("rested", "careful", "closed", "reused"),
+    [
+        (0.2, False, True, True),
+        (0.2, True, True, False),
+        (0.2, True, False, True),
+        (0.4, False, True, False),
+        (0.4, False, False, True),
+        (4.1, False, False, False),
+    ],
+)
+def test_a_kept_connection_is_used_again_unless_it_may_be_closed(rested, careful, closed, reused):
+    now = [100.0]
+    runtime = SimpleNamespace(
+        monotonic=lambda: now[0],
+        has_input=lambda stream: closed,
+        connect=lambda address, seconds: SimpleNamespace(close=lambda: None),
+    )
+    pool = WorkerPool(runtime, ("worker", 1))
+    kept = pool.take(careful=False)
+    pool.give_back(kept)
+    now[0] += rested
+    assert (pool.take(careful) is kept) is reused
+
+
+# The ingress.
+
+
+def connection_that(**fields):
+    """Return a caller's connection of which one step fails as stated, or nothing does."""
+
+    def step(name):
+        def act(*_arguments):
+            error = fields.get(name)
+            if error is not None:
+                raise error
+
+        return act
+
+    return SimpleNamespace(
+        next_head=step("head"),
+        read_body=step("body"),
+        send=fields.get("send", step("send")),
+        stream=SimpleNamespace(settimeout=lambda _seconds: None),
+        reader=SimpleNamespace(started=fields.get("started", False)),
+    )
+
+
+@pytest.mark.parametrize(
+    ("error", "started", "status"),
+    [
+        (HeadTooLargeError(), True, 431),
+        (MalformedMessageError(), True, 400),
+        (TimeoutError(), True, 408),
+    ],
+)
+def test_a_head_that_cannot_be_read_is_answered(error, started, status):
+    with pytest.raises(UnreadableRequestError) as raised:
+        read_head(connection_that(head=error, started=started), Limits())
+    assert raised.value.status == status
+
+
+@pytest.mark.parametrize("error", [TimeoutError(), MessageCutError(), None])
+def test_a_caller_that_sent_no_request_gets_no_answer(error):
+    assert read_head(connection_that(head=error), Limits()) is None
+
+
+def head_of(framing=Framing.LENGTH, length=0, **headers):
+    lines = [(name.encode(), value) for name, value in headers.items()]
+    return RequestHead(b"POST", b"/", lines, framing, length, True)
+
+
+@pytest.mark.parametrize(
+    ("error", "status"),
+    [
+        (HeadTooLargeError(), 413),
+        (MalformedMessageError(), 400),
+        (TimeoutError(), 408),
+        (MessageCutError(), None),
+    ],
+)
+def test_a_body_that_cannot_be_read_is_answered_while_its_caller_is_there(error, status):
+    with pytest.raises(UnreadableRequestError) as raised:
+        read_body(connection_that(body=error), head_of(), Limits())
+    assert raised.value.status == status
+
+
+def test_a_body_that_is_announced_as_too_large_is_not_asked_for():
+    sent = []
+    connection = connection_that(send=sent.append)
+    expecting = {"Expect": b"100-Continue"}
+    allowed = Limits().max_body_bytes
+    read_body(connection, head_of(length=allowed, **expecting), Limits())
+    assert sent == [b"HTTP/1.1 100 Continue\r\n\r\n"]
+    with pytest.raises(UnreadableRequestError) as raised:
+        read_body(connection, head_of(length=allowed + 1, **expecting), Limits())
+    assert raised.value.status == 413
+    assert len(sent) == 1
+
+
+# A planned stop.
+
+
+@pytest.mark.parametrize(
+    ("stop_seconds", "times"),
+    [
+        (6.0, StopTimes(2.2, 105.5)),
+        (4.4, StopTimes(2.2, 103.9)),
+        (2.0, StopTimes(1.0, 101.5)),
+        (0.0, StopTimes(0.0, 99.5)),
+    ],
+)
+def test_a_short_stop_gives_callers_half_of_its_time(stop_seconds, times):
+    assert stop_times(100.0, stop_seconds) == times
+
+
+# What became of a request.
+
+
+def decision_of(outcome, reason=Reason.NONE, status=200, seconds=0.1, failure=None):
+    return Decision(
+        "id",
+        "route",
+        "service",
+        outcome,
+        reason,
+        status,
+        1,
+        0,
+        seconds,
+        5.0,
+        0.5,
+        0,
+        0,
+        1,
+        True,
+        failure,
+        SlotWork(),
+    )
+
+
+@pytest.mark.parametrize(
+    ("decision", "end", "cause"),
+    [
+        (decision_of(Outcome.ANSWERED), End.IN_TIME, Cause()),
+        (decision_of(Outcome.ANSWERED, status=404), End.IN_TIME, Cause()),
+        (decision_of(Outcome.ANSWERED, seconds=0.6), End.LATE, Cause()),
+        (decision_of(Outcome.ANSWERED, status=500), End.FAILED, Cause("service", "run_failed")),
+        (
+            decision_of(
+                Outcome.ANSWERED, status=500, failure=CallFailure("deep", Reason.QUEUE_FULL)
+            ),
+            End.FAILED,
+            Cause("deep", "queue_full"),
+        ),
+        (
+            decision_of(Outcome.NOT_RUN, Reason.QUEUE_FULL, 503),
+            End.REFUSED,
+            Cause("service", "queue_full"),
+        ),
+        (
+            decision_of(Outcome.UNKNOWN, Reason.WORKER_FAILED, 502),
+            End.FAILED,
+            Cause("service", "worker_failed"),
+        ),
+        (decision_of(Outcome.UNKNOWN, Reason.CANCELLED, 502), End.LEFT, Cause()),
+        (decision_of(Outcome.ANSWERED, status=0), End.LEFT, Cause()),
+    ],
+)
+def test_how_a_request_ended_and_why(decision, end, cause):
+    assert end_of(decision) is end
+    assert cause_of(decision, end) == cause
