--- a/src/cranklane/sidecar/admission/crash_evidence.py
+++ b/src/cranklane/sidecar/admission/crash_evidence.py
@@ -11,7 +11,9 @@
 from cranklane.outcome import Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.sidecar.admission import retry_after
-from cranklane.sidecar.quarantine.table import Quarantine, QuarantineState, crash_id
+from cranklane.sidecar.quarantine.entry import crash_id
+from cranklane.sidecar.quarantine.rules import QuarantineState
+from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane.sidecar.request.attempt import Reply, unknown
 from cranklane.sidecar.worker.exit import (
     LEAVING,
@@ -47,7 +49,7 @@
         self._on_exit(worker_exit)
         if worker_exit.planned:
             return
-        runs = sorted(worker_exit.runs, key=_level_of, reverse=True)
+        runs = sorted(worker_exit.runs, key=_suspicion_level_of, reverse=True)
         levels = {run.identity: run.suspicion_level for run in runs}
         crash = crash_id(worker_exit.instance)
         self._quarantine.worker_crashed(self._worker.service, crash, levels)
@@ -73,5 +75,5 @@
             self._quarantine.answered(identity_of_request(request))
 
 
-def _level_of(run: InterruptedRun) -> int:
+def _suspicion_level_of(run: InterruptedRun) -> int:
     return run.suspicion_level
--- a/src/cranklane/sidecar/admission/isolated_runs.py
+++ b/src/cranklane/sidecar/admission/isolated_runs.py
@@ -18,7 +18,8 @@
 from cranklane.records.messages import ForwardRequest
 from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.admission.slots import Slots, Waiter
-from cranklane.sidecar.quarantine.table import Quarantine, QuarantineState
+from cranklane.sidecar.quarantine.rules import QuarantineState
+from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane.sidecar.request.identity import Identity
 from cranklane.sidecar.worker.exit import identity_of_request
 
--- a/src/cranklane/sidecar/quarantine/api.py
+++ b/src/cranklane/sidecar/quarantine/api.py
@@ -15,7 +15,8 @@
 
 from cranklane.common.secret_digest import secret_digest
 from cranklane.common.small_http import SmallAnswer, SmallHandler
-from cranklane.sidecar.quarantine.table import MAX_QUARANTINE_SECONDS, Quarantine
+from cranklane.sidecar.quarantine.rules import MAX_QUARANTINE_SECONDS
+from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane.sidecar.request.identity import IDENTITY_BYTES, Identity
 
 QUARANTINE_PATH = "/v1/quarantine"
@@ -60,7 +61,7 @@
                 "identity": entry.identity.hex(),
                 "service": entry.service,
                 "seconds_left": round(self._table.seconds_left(entry.identity), 1),
-                "ends": len(entry.ends),
+                "ends": len(entry.crashes),
             }
             for entry in self._table.quarantined()
         ]
--- a/src/cranklane/sidecar/quarantine/gossip.py
+++ b/src/cranklane/sidecar/quarantine/gossip.py
@@ -136,7 +136,7 @@
         return QuarantineNews(digest=digest, settled=self._settled, entries=told)
 
     def _take(self, entries: list[QuarantineEntry]) -> None:
-        fresh = self.table.take(entries)
+        fresh = self.table.merge(entries)
         if fresh:
             self._log_entries(fresh, "peer")
 
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -15,7 +15,8 @@
 from cranklane.runtime.interface import Runtime
 from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.admission.gate import Gate
-from cranklane.sidecar.quarantine.table import Quarantine, QuarantineState
+from cranklane.sidecar.quarantine.rules import QuarantineState
+from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane.sidecar.request.attempt import AT_CAPACITY, Attempt, Reply, refusal
 from cranklane.sidecar.request.call import Call, CallProgress
 from cranklane.sidecar.request.identity import Identity
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -5,17 +5,15 @@
 import pytest
 
 from cranklane.records.messages import QuarantineEntry
-from cranklane.sidecar.quarantine.table import (
+from cranklane.sidecar.quarantine.entry import crash_id
+from cranklane.sidecar.quarantine.rules import (
     FIRST_QUARANTINE_SECONDS,
-    MAX_QUARANTINED,
-    MAX_SUSPECTED,
     PROBATION_RUN_SECONDS,
     SECOND_QUARANTINE_SECONDS,
     SUSPICION_SECONDS,
-    Quarantine,
     QuarantineState,
-    crash_id,
 )
+from cranklane.sidecar.quarantine.table import MAX_QUARANTINED, MAX_SUSPECTED, Quarantine
 from cranklane.sidecar.request.identity import identity_of
 
 GUILTY = b"g" * 16
@@ -115,10 +113,10 @@
     other = Sidecar(clock)
     sidecar.end("one", (GUILTY, 0))
     sidecar.end("two", (GUILTY, 1))
-    assert other.table.take(sidecar.news)
+    assert other.table.merge(sidecar.news)
     assert other.table.state(GUILTY) is QuarantineState.QUARANTINED
     assert other.table.digest() == sidecar.table.digest()
-    assert other.table.take(sidecar.table.entries()) == []
+    assert other.table.merge(sidecar.table.entries()) == []
     assert other.news == []
 
 
@@ -127,7 +125,7 @@
     for sidecar, name in ((first, "two"), (second, "three")):
         sidecar.end("one", (GUILTY, 0))
         sidecar.end(name, (GUILTY, 1))
-    first.table.take(second.news)
+    first.table.merge(second.news)
     assert first.table.seconds_left(GUILTY) == SECOND_QUARANTINE_SECONDS
 
 
@@ -136,12 +134,12 @@
     sidecar.end("one", (GUILTY, 0))
     sidecar.end("two", (GUILTY, 1))
     old = list(sidecar.news)
-    other.table.take(old)
+    other.table.merge(old)
     sidecar.table.lift(GUILTY)
-    other.table.take(sidecar.news[-1:])
+    other.table.merge(sidecar.news[-1:])
     assert other.table.is_empty
-    assert other.table.take(old[-1:]) == []
-    assert sidecar.table.take(old[-1:]) == []
+    assert other.table.merge(old[-1:]) == []
+    assert sidecar.table.merge(old[-1:]) == []
     assert other.table.is_empty and sidecar.table.is_empty
 
 
@@ -149,11 +147,11 @@
     other = Sidecar(clock)
     sidecar.end("one", (GUILTY, 0))
     sidecar.end("two", (GUILTY, 1))
-    other.table.take(sidecar.news)
+    other.table.merge(sidecar.news)
     sidecar.table.lift(GUILTY)
     stale = other.table.entries()
-    assert sidecar.table.take(stale) == []
-    other.table.take(sidecar.table.corrections(stale))
+    assert sidecar.table.merge(stale) == []
+    other.table.merge(sidecar.table.corrections(stale))
     assert other.table.is_empty
 
 
@@ -162,10 +160,10 @@
     for _ in range(2):
         clock.now += 1
         sidecar.table.quarantine("s", GUILTY, 60.0)
-        other.table.take(sidecar.news)
+        other.table.merge(sidecar.news)
         assert other.table.state(GUILTY) is QuarantineState.QUARANTINED
         sidecar.table.lift(GUILTY)
-        other.table.take(sidecar.news)
+        other.table.merge(sidecar.news)
         assert other.table.is_empty
         sidecar.news.clear()
 
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -8,7 +8,7 @@
 from cranklane.records.messages import Member, MemberDelta
 from cranklane.sidecar.admission import crash_evidence, isolated_runs
 from cranklane.sidecar.admission.isolated_runs import SuspectAdmission
-from cranklane.sidecar.quarantine import table as quarantine
+from cranklane.sidecar.quarantine import rules
 from cranklane.sidecar.quarantine.gossip import QuarantineGossip
 from cranklane.sidecar.quarantine.sidecar_directory import KEPT_SECONDS, SidecarDirectory
 from cranklane.sidecar.quarantine.table import Quarantine
@@ -34,8 +34,8 @@
 
 
 def test_without_holds_it_ends_more(monkeypatch):
-    monkeypatch.setattr(quarantine, "quarantine_seconds", lambda _ends: 0.0)
-    monkeypatch.setattr(quarantine, "PROBATION_RUN_SECONDS", 0.0)
+    monkeypatch.setattr(rules, "quarantine_seconds", lambda _ends: 0.0)
+    monkeypatch.setattr(rules, "PROBATION_RUN_SECONDS", 0.0)
     assert play(ends_of_one, **FLEET) > 3
 
 
@@ -98,7 +98,7 @@
             self.suspect(service, identity)
         judge(self, service, end, runs)
 
-    monkeypatch.setattr(crash_evidence, "_level_of", lambda run: -run.level)
+    monkeypatch.setattr(crash_evidence, "_suspicion_level_of", lambda run: -run.suspicion_level)
     monkeypatch.setattr(Quarantine, "retried", Quarantine.suspect)
     monkeypatch.setattr(Quarantine, "worker_crashed", worker_crashed)
     assert play(popular_held, **FLEET)
--- a/tests/test_quarantine_operators.py
+++ b/tests/test_quarantine_operators.py
@@ -10,7 +10,8 @@
 from cranklane.common.secret_digest import secret_digest
 from cranklane.common.small_http import SmallAnswer
 from cranklane.sidecar.quarantine.api import QuarantineApi
-from cranklane.sidecar.quarantine.table import Quarantine, QuarantineState
+from cranklane.sidecar.quarantine.rules import QuarantineState
+from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane_lab.simulation.crashes import CrashingRequests
 from cranklane_lab.standins.raw_http import exchange
 from mesh_support import play
--- /dev/null
+++ b/tests/test_quarantine_rules.py
@@ -0,0 +1,117 @@
+"""The rules of the quarantine, each by its inputs."""
+
+import pytest
+
+from cranklane.sidecar.quarantine import rules
+from cranklane.sidecar.quarantine.rules import NEVER, QuarantineState
+
+NOW = 1000.0
+
+
+@pytest.mark.parametrize(
+    ("seen_at", "quarantined_until", "state"),
+    [
+        (NOW, NEVER, QuarantineState.SUSPECTED),
+        (NOW - 120.0, NEVER, QuarantineState.SUSPECTED),
+        (NOW - 120.1, NEVER, QuarantineState.CLEAR),
+        (NOW, NOW + 0.1, QuarantineState.QUARANTINED),
+        (NOW - 3600.0, NOW + 0.1, QuarantineState.QUARANTINED),
+        (NOW, NOW, QuarantineState.ON_PROBATION),
+        (NOW - 3600.0, NOW - 3600.0, QuarantineState.ON_PROBATION),
+    ],
+)
+def test_the_state_of_a_request(seen_at, quarantined_until, state):
+    assert rules.state_at(NOW, seen_at, quarantined_until) is state
+
+
+@pytest.mark.parametrize(
+    ("seen_at", "quarantined_until", "forgotten"),
+    [
+        (NOW - 120.0, NEVER, False),
+        (NOW - 121.0, NEVER, True),
+        (NOW - 4000.0, NOW - 3600.0, False),
+        (NOW - 4000.0, NOW - 3601.0, True),
+        (NOW - 10.0, NOW - 3601.0, False),
+        (NOW - 4000.0, NOW + 1.0, False),
+    ],
+)
+def test_when_a_request_is_forgotten(seen_at, quarantined_until, forgotten):
+    assert rules.is_forgotten(NOW, seen_at, quarantined_until) is forgotten
+
+
+@pytest.mark.parametrize(
+    ("crashes", "seconds"),
+    [(1, 5.0), (2, 300.0), (3, 600.0), (4, 1200.0), (5, 2400.0), (6, 3600.0), (20, 3600.0)],
+)
+def test_how_long_a_quarantine_lasts(crashes, seconds):
+    assert rules.quarantine_seconds(crashes) == seconds
+
+
+@pytest.mark.parametrize(
+    ("levels", "blamed"),
+    [
+        ({}, []),
+        ({b"a": 0, b"b": 0}, []),
+        ({b"a": 1, b"b": 0}, [b"a"]),
+        ({b"a": 1, b"b": 2, b"c": 0}, [b"b"]),
+        ({b"a": 2, b"b": 1, b"c": 2}, [b"a", b"c"]),
+    ],
+)
+def test_against_which_runs_a_crash_is_evidence(levels, blamed):
+    assert rules.most_suspected(levels) == blamed
+
+
+def crashes(text):
+    return frozenset(text.split())
+
+
+@pytest.mark.parametrize(
+    ("reported_seconds", "known", "reported", "seconds"),
+    [
+        (5.0, "", "one", 5.0),
+        (5.0, "one", "one", 5.0),
+        (5.0, "one", "one two", 5.0),
+        (5.0, "one two", "one", 5.0),
+        (5.0, "one", "two", 300.0),
+        (5.0, "one two", "one three", 600.0),
+        (500.0, "one", "two", 500.0),
+        (0.0, "one", "two", 300.0),
+        (0.0, "one", "", 0.0),
+    ],
+)
+def test_crashes_that_were_seen_apart_count_together(reported_seconds, known, reported, seconds):
+    assert rules.merged_seconds(reported_seconds, crashes(known), crashes(reported)) == seconds
+
+
+@pytest.mark.parametrize(
+    ("until", "known_until", "longer"),
+    [(NOW, NEVER, True), (NOW, NOW, False), (NOW + 1.0, NOW, False), (NOW + 1.1, NOW, True)],
+)
+def test_a_reported_quarantine_counts_only_where_it_is_longer(until, known_until, longer):
+    assert rules.is_longer(until, known_until) is longer
+
+
+@pytest.mark.parametrize(
+    ("held_ms", "reported", "cleared", "outdated"),
+    [
+        (100, "one", None, False),
+        (100, "one", "one", True),
+        (100, "one", "one two", True),
+        (100, "one two", "one", False),
+        (100, "", "one", True),
+        (0, "one", "one", False),
+    ],
+)
+def test_a_report_is_outdated_by_a_clearing_that_knew_all_its_evidence(
+    held_ms, reported, cleared, outdated
+):
+    known = None if cleared is None else crashes(cleared)
+    assert rules.is_outdated(held_ms, crashes(reported), known) is outdated
+
+
+@pytest.mark.parametrize(
+    ("known", "cleared", "clears"),
+    [("one", "one", True), ("", "one", True), ("one two", "one", False), ("one", "", False)],
+)
+def test_a_clearing_counts_where_it_knew_all_evidence(known, cleared, clears):
+    assert rules.is_cleared(crashes(known), crashes(cleared)) is clears
