--- a/src/cranklane/node/attempt.py
+++ b/src/cranklane/node/attempt.py
@@ -19,7 +19,7 @@
 from cranklane.node.context import CallContext
 from cranklane.node.members import MemberTable, MemberView
 from cranklane.node.metrics import NodeMetrics
-from cranklane.node.peer_connection import WINDOW_BYTES, CallCancelledError, PeerCall
+from cranklane.node.peer_call import WINDOW_BYTES, CallCancelledError, PeerCall
 from cranklane.node.peers import PeerPool
 from cranklane.outcome import Criticality, Outcome, Reason
 from cranklane.policy.adopted_policy import Route, Service
--- a/src/cranklane/node/balancer.py
+++ b/src/cranklane/node/balancer.py
@@ -1,8 +1,8 @@
 """Chooses the node that gets a call.
 
 Owns the rule and its constants; relies on :mod:`~cranklane.node.ejection` for who is left
-out. The sidecar chooses by cost among 16 candidates, since it also weighs a worker's health
-(:mod:`~cranklane.sidecar.routing.destinations`).
+out. The sidecar chooses by another rule (:mod:`~cranklane.sidecar.routing.worker_choice`): it
+also weighs a worker's health and the cost of another zone.
 """
 
 from __future__ import annotations
--- a/src/cranklane/node/ejection.py
+++ b/src/cranklane/node/ejection.py
@@ -2,9 +2,8 @@
 
 Owns the rule: when, for how long, and how many at most. The failures are counted by
 :mod:`~cranklane.node.members`. The sidecar's rule
-(:mod:`~cranklane.sidecar.routing.destinations`) is another one: it ejects at once a
-destination that cannot be reached, for 4 s at most, and prefers others to ejected ones
-by their cost instead of leaving them out.
+(:mod:`~cranklane.sidecar.routing.ejection`) is another one: it tells failures to reach a
+destination, which eject it at once, from failed runs.
 """
 
 from __future__ import annotations
--- a/src/cranklane/node/ledger_client.py
+++ b/src/cranklane/node/ledger_client.py
@@ -50,6 +50,18 @@
     not_run: bool
 
 
+@dataclass(frozen=True)
+class _Reply:
+    """What came of one request.
+
+    :ivar message: the reply, or None without one.
+    :ivar not_run: whether the request certainly changed nothing.
+    """
+
+    message: Message | None
+    not_run: bool
+
+
 class _Connection:
     """A connection to one ledger replica; many requests share it."""
 
@@ -106,20 +118,22 @@
         self, group: str, request: LedgerBegin, seconds: float
     ) -> Result[LedgerGrant, LedgerFailure]:
         """Ask for the entry of a once-call."""
-        reply, not_run = self._ask_group(group, request, seconds)
-        if isinstance(reply, LedgerGrant):
-            return Ok(reply)
-        return Err(LedgerFailure(not_run))
+        reply = self._ask_group(group, request, seconds)
+        if isinstance(reply.message, LedgerGrant):
+            return Ok(reply.message)
+        return Err(LedgerFailure(reply.not_run))
 
     def finish(self, group: str, request: LedgerFinish, seconds: float) -> LedgerDone | None:
         """Store how a once-call ended; return the ledger's answer, or None without one."""
-        reply, _ = self._ask_group(group, request, seconds)
-        return reply if isinstance(reply, LedgerDone) else None
+        message = self._ask_group(group, request, seconds).message
+        return message if isinstance(message, LedgerDone) else None
+
+    def _ask_group(self, group: str, request: Message, seconds: float) -> _Reply:
+        """Return the leader's reply; ask replicas in rounds until one leads or time is up.
 
-    def _ask_group(
-        self, group: str, request: Message, seconds: float
-    ) -> tuple[Message | None, bool]:
-        """Return the leader's reply, and whether the request changed nothing for certain."""
+        A further round is made only when some replica may lead: it has the request, or
+        named a leader. Without any, the call is refused at once instead of waiting.
+        """
         until = self._runtime.monotonic() + seconds
         not_run = True
         while True:
@@ -127,19 +141,18 @@
             for address in self._addresses(group):
                 left = until - self._runtime.monotonic()
                 if left <= 0:
-                    return None, not_run
-                reply, sent = self._ask(address, request, min(TRY_SECONDS, left))
-                if isinstance(reply, LedgerUnavailable):
-                    not_run &= reply.not_run
-                    leaderless &= not self._follow_hint(group, address, reply)
-                    continue
-                if reply is not None:
+                    return _Reply(None, not_run)
+                reply = self._ask(address, request, min(TRY_SECONDS, left))
+                not_run &= reply.not_run
+                if isinstance(reply.message, LedgerUnavailable):
+                    leaderless &= not self._follow_hint(group, address, reply.message)
+                elif reply.message is not None:
                     self._leaders[group] = address
-                    return reply, False
-                not_run &= not sent
-                leaderless &= not sent
+                    return reply
+                else:
+                    leaderless &= reply.not_run
             if leaderless or self._runtime.monotonic() + ROUND_PAUSE_SECONDS >= until:
-                return None, not_run
+                return _Reply(None, not_run)
             gevent.sleep(ROUND_PAUSE_SECONDS)
 
     def _follow_hint(self, group: str, address: str, reply: LedgerUnavailable) -> bool:
@@ -161,13 +174,16 @@
             addresses = [leader, *(item for item in addresses if item != leader)]
         return addresses
 
-    def _ask(self, address: str, request: Message, seconds: float) -> tuple[Message | None, bool]:
-        """Return the reply, and whether the request may have arrived."""
+    def _ask(self, address: str, request: Message, seconds: float) -> _Reply:
+        """Ask one replica."""
         try:
             connection = self._connection(address)
         except (OSError, ConnectionLostError, MalformedRecordError):
-            return None, False
-        return connection.ask(request, seconds), True
+            # Nothing was sent; another replica is asked.
+            return _Reply(None, not_run=True)
+        message = connection.ask(request, seconds)
+        refused = isinstance(message, LedgerUnavailable) and message.not_run
+        return _Reply(message, refused)
 
     def _connection(self, address: str) -> _Connection:
         with self._dialling.setdefault(address, Semaphore()):
--- a/src/cranklane/node/members.py
+++ b/src/cranklane/node/members.py
@@ -2,7 +2,7 @@
 
 Owns what this node knows of each: what control says of it, the load it reports, and how
 calls to it went. Relies on :mod:`~cranklane.node.ejection` for the rule on failures. The
-sidecar keeps more of a destination (:mod:`~cranklane.sidecar.routing.destinations`): there
+sidecar keeps more of a destination (:mod:`~cranklane.sidecar.routing.destination`): there
 a worker's health and its absence from control's list count, here a member is there as long
 as control says so.
 """
--- a/src/cranklane/node/retry_rule.py
+++ b/src/cranklane/node/retry_rule.py
@@ -3,8 +3,8 @@
 Owns the table from outcome and reason to the next step. What a retry costs is kept by
 :mod:`~cranklane.node.allowance` (the root request's) and
 :mod:`~cranklane.node.retry_budget` (the called service's). The sidecar's table
-(:mod:`~cranklane.sidecar.routing`) is another one: there a request has no allowance, and
-requests suspected of crashing workers are not retried.
+(:mod:`~cranklane.sidecar.routing.retry_policy`) is another one: there a route bounds the
+attempts, an answer can be retried too, and requests suspected of crashing workers are not.
 """
 
 from __future__ import annotations
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -20,7 +20,8 @@
 from cranklane.node.allowance import Allowance
 from cranklane.node.fair_queue import FairQueue
 from cranklane.node.outbound import Outbound
-from cranklane.node.peer_connection import PeerCall, PeerConnection
+from cranklane.node.peer_call import PeerCall
+from cranklane.node.peer_connection import PeerConnection
 from cranklane.node.process import NodeProcess
 from cranklane.node.retry_budget import RetryBudget
 from cranklane.outcome import Criticality
