--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -254,7 +254,8 @@
         """Send a request to the worker and return its answer, or what its exit means."""
         request = admitted.request
         deadline = admitted.arrived_at + request.deadline_ms / MILLISECONDS
-        on_sent = partial(self._exits.began, admitted.number, request, admitted.suspicion.level)
+        suspicion_level = admitted.suspicion.suspicion_level
+        on_sent = partial(self._exits.began, admitted.number, request, suspicion_level)
         assert self._exchange is not None
         reply = self._exchange.run(attempt, admitted.instance, deadline, on_sent)
         if reply.reason is Reason.WORKER_FAILED and self._exits.connection_lost(admitted.instance):
