--- a/src/cranklane_lab/cli.py
+++ b/src/cranklane_lab/cli.py
@@ -70,9 +70,9 @@
     jobs: Annotated[int, typer.Option(help="processes at once; 0: one a core")] = 0,
 ) -> None:
     """Measure what is earned on drawn call trees that end in one narrow service."""
-    from cranklane_lab.trees.report import play_seeds, told
+    from cranklane_lab.trees.report import format_report, play_seeds
 
-    for line in told(play_seeds(_seeds(seeds), jobs)):
+    for line in format_report(play_seeds(_seeds(seeds), jobs)):
         typer.echo(line)
 
 
@@ -84,7 +84,7 @@
     only: Annotated[str, typer.Option(help="play days whose names hold this text")] = "",
 ) -> None:
     """Play each day file on a deployment; exit 1 when one fell short."""
-    from cranklane_lab.days.play import play_day, told
+    from cranklane_lab.days.play import format_day, play_day
 
     files = sorted(file for file in folder.glob("*.toml") if only in file.stem)
     if not files:
@@ -93,7 +93,7 @@
     for file in files:
         day = play_day(bench, site, file, f"Day of its own: {file.stem}")
         fell_short += bool(day.problems)
-        typer.echo(told(day))
+        typer.echo(format_day(day))
     typer.echo(f"{len(files)} days, {fell_short} fell short")
     raise typer.Exit(1 if fell_short else 0)
 
--- a/src/cranklane_lab/days/play.py
+++ b/src/cranklane_lab/days/play.py
@@ -74,7 +74,7 @@
     return read_output(name_of(file), finished.stdout + finished.stderr)
 
 
-def told(day: PlayedDay) -> str:
+def format_day(day: PlayedDay) -> str:
     """Return the line that tells of a day."""
     worth = "  none" if day.worth is None else f"{day.worth:6.3f}"
     served = "  none" if day.served is None else f"{day.served:6.3f}"
--- a/src/cranklane_lab/demo.py
+++ b/src/cranklane_lab/demo.py
@@ -23,7 +23,7 @@
     wait_for_members,
     wait_until_serving,
 )
-from cranklane_lab.standins.client import Client, Told
+from cranklane_lab.standins.client import Client, ClientResult
 
 REQUESTS_PER_KIND = 40
 CONCURRENCY = 16
@@ -39,7 +39,7 @@
         self._folder = folder
         self._runtime = RealRuntime()
         self.problems: list[str] = []
-        self.told: dict[str, list[Told]] = defaultdict(list)
+        self.results: dict[str, list[ClientResult]] = defaultdict(list)
         self.sites: list[Site] = []
 
     def run(self) -> None:
@@ -90,8 +90,8 @@
         client.close()
 
     def _send(self, site: Site, client: Client, kind: object, nonce: str) -> None:
-        told = client.send(kind, nonce, key=f"key-{nonce}")  # type: ignore[arg-type]
-        self.told[site.deployment.name].append(told)
+        result = client.send(kind, nonce, key=f"key-{nonce}")  # type: ignore[arg-type]
+        self.results[site.deployment.name].append(result)
 
     def _break(self, site: Site) -> None:
         """Kill one worker, and drain a node of another service."""
@@ -115,27 +115,31 @@
                 client.close()
                 runs.update(nonce for nonce, _ in state["runs"])
                 by_key.update(key for _, key in state["runs"] if key)
-            for told in self.told[site.deployment.name]:
-                self._check(told, runs, by_key)
-
-    def _check(self, told: Told, runs: Counter[str], by_key: Counter[str]) -> None:
-        if told.wrong:
-            self.problems.append(f"{told.nonce}: {told.wrong}")
-        if told.outcome == "not_run" and runs[told.nonce]:
-            self.problems.append(f"{told.nonce}: told not_run, but it ran")
-        if told.outcome == "lost":
-            self.problems.append(f"{told.nonce}: no answer: {told.reason}")
-        if told.key and by_key[told.key] > 1:
-            self.problems.append(f"{told.nonce}: ran {by_key[told.key]} times")
+            for result in self.results[site.deployment.name]:
+                self._check(result, runs, by_key)
+
+    def _check(self, result: ClientResult, runs: Counter[str], by_key: Counter[str]) -> None:
+        if result.wrong:
+            self.problems.append(f"{result.nonce}: {result.wrong}")
+        if result.outcome == "not_run" and runs[result.nonce]:
+            self.problems.append(f"{result.nonce}: told not_run, but it ran")
+        if result.outcome == "lost":
+            self.problems.append(f"{result.nonce}: no answer: {result.reason}")
+        if result.key and by_key[result.key] > 1:
+            self.problems.append(f"{result.nonce}: ran {by_key[result.key]} times")
 
     def _print(self, seconds: float) -> None:
         print(f"{'request':<24}{'whole':>7}{'not run':>9}{'unknown':>9}{'other':>7}{'p50 ms':>8}")
         for site in self.sites:
             for kind in site.deployment.requests:
-                told = [t for t in self.told[site.deployment.name] if t.kind == kind.name]
-                outcomes = Counter(t.outcome for t in told)
-                whole = sum(t.good for t in told)
-                times = sorted(t.seconds for t in told)
+                results = [
+                    result
+                    for result in self.results[site.deployment.name]
+                    if result.kind == kind.name
+                ]
+                outcomes = Counter(result.outcome for result in results)
+                whole = sum(result.good for result in results)
+                times = sorted(result.seconds for result in results)
                 label = f"{site.deployment.name} {kind.name}"
                 print(
                     f"{label:<24}{whole:>7}{outcomes['not_run']:>9}{outcomes['unknown']:>9}"
--- a/src/cranklane_lab/replay/player.py
+++ b/src/cranklane_lab/replay/player.py
@@ -77,10 +77,10 @@
 
     def _request(self, event: Event) -> None:
         kinds = {kind.name: kind for kind in self._run.fleet.deployment.requests}
-        told = self._run.send(self._client, kinds[event.kind], event.nonce, event.key)
-        if event.expect and told.outcome not in event.expect:
+        result = self._run.send(self._client, kinds[event.kind], event.nonce, event.key)
+        if event.expect and result.outcome not in event.expect:
             expected = " or ".join(event.expect)
-            self.differences.append(f"{event.nonce}: expected {expected}, told {told.outcome}")
+            self.differences.append(f"{event.nonce}: expected {expected}, told {result.outcome}")
 
     def _pair(self, event: Event) -> SimulatedPair:
         name = event.process.rpartition("-")[0]
--- a/src/cranklane_lab/replay/run.py
+++ b/src/cranklane_lab/replay/run.py
@@ -25,8 +25,8 @@
         print(f"{violation.promise}: {violation.detail}")
     for difference in played.differences:
         print(f"differs: {difference}")
-    told = ", ".join(f"{name} {count}" for name, count in played.outcomes.items())
-    print(f"{path.name}: {len(trace.events)} events; told: {told}")
+    outcomes = ", ".join(f"{name} {count}" for name, count in played.outcomes.items())
+    print(f"{path.name}: {len(trace.events)} events; told: {outcomes}")
     return 1 if played.violations or played.differences else 0
 
 
--- a/src/cranklane_lab/replay/trace.py
+++ b/src/cranklane_lab/replay/trace.py
@@ -19,7 +19,7 @@
 =============  ==========================================================
 
 A process is named ``SERVICE-N-worker``, ``SERVICE-N-node``, ``control-N`` or
-``ledger-N``. Outcomes are those of :class:`cranklane_lab.standins.client.Told`.
+``ledger-N``. Outcomes are those of :class:`cranklane_lab.standins.client.ClientResult`.
 """
 
 from __future__ import annotations
--- a/src/cranklane_lab/scenarios/base.py
+++ b/src/cranklane_lab/scenarios/base.py
@@ -16,7 +16,7 @@
 from cranklane_lab.scenarios.recorder import Recorder, Violation
 from cranklane_lab.simulation.fleet import SimulatedFleet
 from cranklane_lab.simulation.world import World, simulate
-from cranklane_lab.standins.client import Client, Told
+from cranklane_lab.standins.client import Client, ClientResult
 
 VERSION_LOOK_SECONDS = 0.1
 
@@ -40,15 +40,15 @@
         nonce: str = "",
         key: str = "",
         deadline_ms: int = 0,
-    ) -> Told:
+    ) -> ClientResult:
         """Send one request and record what was told."""
         self._numbers += 1
         nonce = nonce or f"{kind.name}-{self._numbers}"
         at = self.world.loop.now()
-        told = client.send(kind, nonce, key or f"key-{nonce}", deadline_ms)
-        self.recorder.told(at, told)
-        self.world.log(f"told {nonce} {told.outcome} {told.status} {told.reason}")
-        return told
+        result = client.send(kind, nonce, key or f"key-{nonce}", deadline_ms)
+        self.recorder.record(at, result)
+        self.world.log(f"told {nonce} {result.outcome} {result.status} {result.reason}")
+        return result
 
     def traffic(
         self,
--- a/src/cranklane_lab/scenarios/edits.py
+++ b/src/cranklane_lab/scenarios/edits.py
@@ -75,8 +75,8 @@
             self.accepted[request] = answer.media["version"]
         if answer.accepted or answer.status == CONFLICT:
             ended = self.world.loop.now()
-            told = (answer.accepted, answer.media["version"])
-            self.operations.append(Operation(started, ended, asked, told))
+            answered = (answer.accepted, answer.media["version"])
+            self.operations.append(Operation(started, ended, asked, answered))
         else:
             self.operations.append(Operation(started, FOR_EVER, asked))
         self.world.log(f"edit {request} {answer.status} {answer.media.get('version')}")
@@ -94,7 +94,7 @@
         same = read.text == state.text and _may_be(state, read.version)
         return [read] if same else []
     if operation.answered is None:
-        # An accepted edit whose version nobody was told.
+        # An accepted edit whose version no operator knows.
         taken = DocumentState(NOT_TOLD, asked.text)
         return [taken, state] if _may_be(state, asked.base) else [state]
     accepted, version = operation.answered
--- a/src/cranklane_lab/scenarios/library.py
+++ b/src/cranklane_lab/scenarios/library.py
@@ -64,9 +64,9 @@
     critical = run.traffic(client, 50, 2.0, [_kind(run, "read-minutes")])
     background = run.traffic(client, 150, 2.0, [_kind(run, "reindex")])
     gevent.joinall([critical, background])
-    refused = [s.told for s in run.recorder.sent if s.told.outcome == "not_run"]
-    critical_refused = [told for told in refused if told.kind == "read-minutes"]
-    if not any(told.kind == "reindex" for told in refused):
+    refused = [sent.result for sent in run.recorder.sent if sent.result.outcome == "not_run"]
+    critical_refused = [result for result in refused if result.kind == "read-minutes"]
+    if not any(result.kind == "reindex" for result in refused):
         run.recorder.violate("criticality-order", "nothing was refused: no overload")
     if critical_refused:
         run.recorder.violate(
@@ -157,7 +157,7 @@
                 gevent.sleep(random.uniform(0.2, 1.0))
                 run.world.network.heal(pair.node_process.name, "edge")
     gevent.joinall([*traffic, ledger_faults])
-    signed = [sent for sent in run.recorder.sent if sent.told.good]
+    signed = [sent for sent in run.recorder.sent if sent.result.good]
     if len(signed) < 20:
         run.recorder.violate("at-most-once", f"only {len(signed)} signatures were answered")
 
@@ -172,9 +172,9 @@
     pair.node.drain()
     traffic.join()
     for sent in run.recorder.sent:
-        if not sent.told.good:
+        if not sent.result.good:
             run.recorder.violate(
-                "leaving", f"{sent.told.nonce}: {sent.told.outcome} {sent.told.reason}"
+                "leaving", f"{sent.result.nonce}: {sent.result.outcome} {sent.result.reason}"
             )
 
 
@@ -194,10 +194,11 @@
     gevent.joinall(stops)
     traffic.join()
     for sent in run.recorder.sent:
-        if not sent.told.good:
+        result = sent.result
+        if not result.good:
             run.recorder.violate(
                 "planned-stop",
-                f"{sent.told.nonce}: {sent.told.outcome} {sent.told.status} {sent.told.reason}",
+                f"{result.nonce}: {result.outcome} {result.status} {result.reason}",
             )
 
 
@@ -215,7 +216,7 @@
     ended = run.world.loop.now()
     gevent.joinall([calm, surge])
     late = [sent for sent in run.recorder.sent if sent.at > ended + 2.0]
-    good = sum(sent.told.good for sent in late)
+    good = sum(sent.result.good for sent in late)
     if not late or good < 0.95 * len(late):
         run.recorder.violate(
             "recovery", f"{good} of {len(late)} whole 2 s after the slowdown ended"
--- a/src/cranklane_lab/scenarios/promises.py
+++ b/src/cranklane_lab/scenarios/promises.py
@@ -41,21 +41,21 @@
 def check_answers(recorder: Recorder, edge_lost: bool) -> None:
     """Every answer is whole and its caller's own; nobody is left without one."""
     for sent in recorder.sent:
-        if sent.told.wrong:
-            recorder.violate("answer-integrity", f"{sent.told.nonce}: {sent.told.wrong}")
-        if sent.told.outcome == "lost" and not edge_lost:
+        if sent.result.wrong:
+            recorder.violate("answer-integrity", f"{sent.result.nonce}: {sent.result.wrong}")
+        if sent.result.outcome == "lost" and not edge_lost:
             recorder.violate(
-                "answer-integrity", f"{sent.told.nonce}: no answer: {sent.told.reason}"
+                "answer-integrity", f"{sent.result.nonce}: no answer: {sent.result.reason}"
             )
 
 
 def check_not_run(recorder: Recorder) -> None:
     """What was told not_run, each time it was sent, was run nowhere."""
     ran = recorder.runs_by_nonce()
-    told: dict[str, set[str]] = defaultdict(set)
+    outcomes_of: dict[str, set[str]] = defaultdict(set)
     for sent in recorder.sent:
-        told[sent.told.nonce].add(sent.told.outcome)
-    for nonce, outcomes in told.items():
+        outcomes_of[sent.result.nonce].add(sent.result.outcome)
+    for nonce, outcomes in outcomes_of.items():
         if outcomes == {"not_run"} and nonce in ran:
             recorder.violate("not-run", f"{nonce}: told not_run, ran at {ran[nonce][0].worker}")
 
--- a/src/cranklane_lab/scenarios/recorder.py
+++ b/src/cranklane_lab/scenarios/recorder.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass
 
-from cranklane_lab.standins.client import Told
+from cranklane_lab.standins.client import ClientResult
 from cranklane_lab.standins.worker import WorkerRun
 
 
@@ -29,7 +29,7 @@
     """
 
     at: float
-    told: Told
+    result: ClientResult
 
 
 class Recorder:
@@ -47,9 +47,9 @@
         """Record a call that a worker has started."""
         self.runs.append(run)
 
-    def told(self, at: float, told: Told) -> None:
+    def record(self, at: float, result: ClientResult) -> None:
         """Record what a client was told."""
-        self.sent.append(Sent(at, told))
+        self.sent.append(Sent(at, result))
 
     def saw_version(self, node: str, version: int) -> None:
         """Record the version in force at a node; it must never fall."""
@@ -71,11 +71,11 @@
 
     def good(self) -> int:
         """Return how many requests were answered whole."""
-        return sum(sent.told.good for sent in self.sent)
+        return sum(sent.result.good for sent in self.sent)
 
     def outcomes(self) -> Counter[str]:
         """Return how often each outcome was told."""
         return Counter(
-            sent.told.outcome if sent.told.outcome != "answered" else str(sent.told.status)
+            sent.result.outcome if sent.result.outcome != "answered" else str(sent.result.status)
             for sent in self.sent
         )
--- a/src/cranklane_lab/simulate.py
+++ b/src/cranklane_lab/simulate.py
@@ -56,6 +56,6 @@
     for result in results:
         for outcome, count in result.outcomes.items():
             totals[outcome] = totals.get(outcome, 0) + count
-    told = ", ".join(f"{name} {count}" for name, count in sorted(totals.items()))
-    print(f"{len(results) - len(broken)} of {len(results)} seeds held; told: {told}")
+    outcomes = ", ".join(f"{name} {count}" for name, count in sorted(totals.items()))
+    print(f"{len(results) - len(broken)} of {len(results)} seeds held; told: {outcomes}")
     return 1 if broken else 0
--- a/src/cranklane_lab/soak/proxy.py
+++ b/src/cranklane_lab/soak/proxy.py
@@ -104,5 +104,6 @@
     try:
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     except OSError:
+        # The far end has closed it already.
         pass
     stream.close()
--- a/src/cranklane_lab/standins/client.py
+++ b/src/cranklane_lab/standins/client.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True)
-class Told:
+class ClientResult:
     """What a client was told of one request.
 
     :ivar outcome: ``answered``, ``not_run``, ``unknown``; ``cut`` when an answer
@@ -50,7 +50,9 @@
         self._token = token
         self._http = HttpClient(runtime, edge, concurrency=4096)
 
-    def send(self, kind: RequestKind, nonce: str, key: str = "", deadline_ms: int = 0) -> Told:
+    def send(
+        self, kind: RequestKind, nonce: str, key: str = "", deadline_ms: int = 0
+    ) -> ClientResult:
         """Send one request and return what was told.
 
         :param deadline_ms: a deadline shorter than the route's; 0 for none.
@@ -68,7 +70,9 @@
             body = response.read()
         except (HttpRequestError, AnswerCutError) as error:
             outcome = "cut" if isinstance(error, AnswerCutError) else "lost"
-            return Told(kind.name, nonce, key, outcome, 0, str(error), "", self._since(started))
+            return ClientResult(
+                kind.name, nonce, key, outcome, 0, str(error), "", self._since(started)
+            )
         finally:
             if response is not None:
                 response.close()
@@ -77,7 +81,7 @@
         wrong = ""
         if outcome == "answered" and response.status < 300:
             wrong = wrong_with(body, nonce)
-        return Told(
+        return ClientResult(
             kind=kind.name,
             nonce=nonce,
             key=key,
--- a/src/cranklane_lab/standins/routed_worker.py
+++ b/src/cranklane_lab/standins/routed_worker.py
@@ -188,6 +188,7 @@
                 if head is None or not self._serve(stream, reader, head):
                     return
         except (OSError, MalformedMessageError, MessageCutError):
+            # The sidecar has left; its own checks judge what it sent.
             pass
         finally:
             self._streams.discard(stream)
--- a/src/cranklane_lab/trees/play.py
+++ b/src/cranklane_lab/trees/play.py
@@ -57,8 +57,8 @@
     bound: float = 0.0
 
     @property
-    def part(self) -> float:
-        """Earned worth as a part of the most that could be earned."""
+    def earned_fraction(self) -> float:
+        """Earned worth as a fraction of the most that could be earned."""
         return self.worth / self.bound if self.bound else 1.0
 
 
--- a/src/cranklane_lab/trees/report.py
+++ b/src/cranklane_lab/trees/report.py
@@ -20,18 +20,18 @@
         yield from pool.map(play, seeds)
 
 
-def told(results: Iterable[Played]) -> Iterator[str]:
+def format_report(results: Iterable[Played]) -> Iterator[str]:
     """Yield a line for each deployment, and the mean and the worst of all."""
-    parts = []
+    fractions = []
     for played in results:
         deployment = draw(played.seed)
         offered = sum(played.offered.values())
-        parts.append(played.part)
+        fractions.append(played.earned_fraction)
         yield (
             f"seed {played.seed:>4}  depth {len(deployment.services)}"
             f"  load {deployment.load:.2f} x {deployment.surge:.2f}"
-            f"  {deployment.trouble.value:<5}  earned {played.part:.3f}"
+            f"  {deployment.trouble.value:<5}  earned {played.earned_fraction:.3f}"
             f"  in time {sum(played.in_time.values()) / offered:.3f}"
             f"  refused again {sum(played.refused_again.values()) / offered:.3f}"
         )
-    yield f"earned of the most there was: mean {mean(parts):.3f}, worst {min(parts):.3f}"
+    yield f"earned of the most there was: mean {mean(fractions):.3f}, worst {min(fractions):.3f}"
--- a/tests/test_trees.py
+++ b/tests/test_trees.py
@@ -41,7 +41,7 @@
 
 def mean_part() -> float:
     """Return what is earned on a fixed list of deployments, as a mean of parts."""
-    return fmean(play(seed).part for seed in COMPARED_SEEDS)
+    return fmean(play(seed).earned_fraction for seed in COMPARED_SEEDS)
 
 
 def test_calls_that_may_wait_as_their_root_can_spare_earn_more(monkeypatch):
