--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -242,6 +242,34 @@
     assert play(script, slots=8) == (False, True, {200})
 
 
+def test_a_planned_stop_cuts_nothing_though_callers_go_on_sending():
+    """As where most machines of a zone stop at once, and callers have nowhere else to go."""
+
+    def script(mesh):
+        each_worker(mesh, seconds=0.9)
+        machine = mesh.machines[0]
+        answers = {}
+
+        def ask(name):
+            answers[name] = mesh.request(machine, "/read/x", name=name)
+
+        def stop():
+            machine.sidecar.stop()
+            gevent.spawn(machine.process.kill)
+
+        machine.process.spawn(stop)
+        asking = []
+        for number in range(70):
+            asking.append(gevent.spawn(ask, f"sent-{number}"))
+            gevent.sleep(0.1)
+        gevent.joinall(asking)
+        ran = {name for name in answers if mesh.run_of(name)}
+        cut = sorted(name for name in ran if answers[name] is None)
+        return len(ran) > 10, cut
+
+    assert play(script, slots=16) == (True, [])
+
+
 def test_a_split_keeps_its_shares():
     def script(mesh):
         split = [{"service": "s", "weight": 90}, {"service": "t", "weight": 10}]
