--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -17,10 +17,11 @@
 from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import RequestHead
 from cranklane.common.units import MILLISECONDS
-from cranklane.outcome import Outcome
+from cranklane.outcome import Outcome, Reason
 from cranklane.routes.splitter import Splitter
 from cranklane.routes.table import RouteTable
 from cranklane.runtime.interface import Address, Runtime
+from cranklane.sidecar.admission import retry_after
 from cranklane.sidecar.ingress.answer_writer import AnswerWriter
 from cranklane.sidecar.ingress.authentication import Authentication
 from cranklane.sidecar.ingress.call_builder import CallBuilder, find_route
@@ -32,7 +33,7 @@
     read_head,
 )
 from cranklane.sidecar.ingress.disconnect import DisconnectWatch
-from cranklane.sidecar.request.attempt import AT_CAPACITY, Reply
+from cranklane.sidecar.request.attempt import AT_CAPACITY, Reply, refusal
 from cranklane.sidecar.request.call import Call, CallProgress
 from cranklane.sidecar.request.call_tree import CallFailure, CallTree, Run
 from cranklane.sidecar.request.decision import Decision
@@ -68,6 +69,8 @@
 
     :param caller_service: service of this machine, stated on every request.
     :ivar stopping: whether answers end their connections.
+    :ivar refuses_clients: whether only calls of runs under way at this machine's worker are
+        taken: the process ends soon, and a client's request may not be finished by then.
     :ivar in_flight: requests whose head was read and whose answer is not written yet.
     """
 
@@ -86,6 +89,7 @@
         self._writer = AnswerWriter(runtime, names)
         self._idle: set[CallerConnection] = set()
         self.stopping = False
+        self.refuses_clients = False
         self.in_flight = 0
 
     def accept(self, stream: Any, _address: Address) -> None:
@@ -143,6 +147,9 @@
         if isinstance(routed, Reply):
             return self._refuse(connection, request, routed)
         run = self._call_tree.run_of(request.id)
+        if self.refuses_clients and run is None:
+            refused = refusal(Reason.STOPPING, retry_after_ms=retry_after.DEFAULT_MS)
+            return self._refuse(connection, request, refused)
         identified = self._authentication.identify(
             request.head, request.id, request.table, routed, run
         )
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -275,6 +275,8 @@
         self._withdraw()
         gevent.sleep(times.withdrawal_seconds)
         self.ingress.close_idle()
+        wait_until_idle(self._runtime, self._is_busy, times.accepts_until)
+        self.ingress.refuses_clients = True
         wait_until_idle(self._runtime, self._is_busy, times.ends_at)
         finished = self._close()
         self._log.info(
