--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -274,7 +274,7 @@
             slowness = ratio_to(request.expected_latency_us / MICROSECONDS, run_seconds)
         self._condition.run_ended(run_outcome.is_own_fault(run, reply), slowness)
         starved = reply.downstream_starved or run_outcome.may_be_starved(
-            reply, self._call_tree.ties
+            reply, self._call_tree.correlates
         )
         self._limiter.ended(request.route, admitted.limiter_round, starved)
 
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -30,7 +30,7 @@
 from cranklane.sidecar.readiness_api import ReadinessApi
 from cranklane.sidecar.request.call_tree import CallTree
 from cranklane.sidecar.routing.destinations import Destinations
-from cranklane.sidecar.routing.dispatcher import Dispatcher
+from cranklane.sidecar.routing.dispatcher import Dispatcher, DispatcherParts
 from cranklane.sidecar.routing.peer_client import PeerClient
 from cranklane.sidecar.routing.peer_server import PeerServer
 from cranklane.sidecar.routing.retry_budget import RetryBound, RetryBudget
@@ -137,21 +137,20 @@
             runtime.random,
             self.destinations.fleet_size,
         )
-        self.dispatcher = Dispatcher(
-            runtime,
+        choice = WorkerChoice(
+            self.destinations, runtime.monotonic, runtime.random, settings.name, settings.zone
+        )
+        parts = DispatcherParts(
             self.destinations,
-            WorkerChoice(
-                self.destinations, runtime.monotonic, runtime.random, settings.name, settings.zone
-            ),
+            choice,
             self.gate,
             self.peers,
             budget,
             self.quarantine.table,
-            settings.name,
-            settings.service,
             self.decisions.attempted,
             self.decisions.quarantined,
         )
+        self.dispatcher = Dispatcher(runtime, parts, settings.name, settings.service)
 
     def _build_ingress(self, call_tree: CallTree, disconnects: DisconnectWatch) -> None:
         authentication = Authentication(
--- a/src/cranklane/sidecar/request/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -1,4 +1,4 @@
-"""One try to have a worker run a request, and what became of it."""
+"""One attempt to have a worker run a request, and its outcome."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 """Returns the next piece of a request's body, nothing at its end."""
 
 SMALL_BODY_BYTES = 64 * 1024
-"""A body up to this size is held whole, so that it can be sent again."""
+"""Bytes up to which a body is kept whole, so that it can be sent again. A choice: it bounds the
+memory of a request under way."""
 
 AT_CAPACITY = (Reason.QUEUE_FULL, Reason.DEADLINE_TOO_NEAR)
 """Why a sidecar refuses a request for lack of capacity at its worker."""
@@ -27,7 +28,7 @@
 
     :ivar request: what is asked.
     :ivar rest: reads what of the body has not been read yet; None when it is whole.
-    :ivar cancelled: whether nobody waits for the answer any more.
+    :ivar cancelled: whether the caller has disconnected.
     """
 
     __slots__ = ("request", "rest", "cancelled", "_on_cancel")
@@ -39,16 +40,16 @@
         self._on_cancel: Callable[[], None] | None = None
 
     def when_cancelled(self, action: Callable[[], None] | None) -> None:
-        """State what ends the present step; None when it has ended.
+        """Set what cancels the present step; None when the step has ended.
 
-        The action is taken at once when the attempt is cancelled already.
+        The action is called at once when the attempt is cancelled already.
         """
         self._on_cancel = action
         if self.cancelled and action is not None:
             action()
 
     def cancel(self) -> None:
-        """End the attempt: its caller has left."""
+        """End the attempt: its caller has disconnected."""
         self.cancelled = True
         if self._on_cancel is not None:
             self._on_cancel()
@@ -69,16 +70,16 @@
     """What became of an attempt.
 
     :ivar arrived: whether the request reached a worker.
-    :ivar retry_after_ms: when a refused request may come again; for how long one is held under
-        which the worker ended.
+    :ivar retry_after_ms: when a refused request may come again; for how long a request is
+        quarantined under which the worker crashed.
     :ivar lines: the answer's headers as they go to the caller, without framing.
     :ivar body: the body, or its first piece when ``rest`` is there.
     :ivar waited_ms: time it waited for a slot of the worker.
     :ivar run_time_ms: time until the worker had answered.
     :ivar downstream_starved: whether the run failed because a call below it found no
         capacity.
-    :ivar failure: the call that failed, where the run failed since one did.
-    :ivar downstream_cost: what the calls of the run have cost; None: nothing.
+    :ivar failure: the call that failed, where the run failed because of one.
+    :ivar downstream_cost: slot time of the run's calls; None: nothing is known.
     :ivar rest: the further pieces; raises AnswerCutError when they end too early.
     """
 
@@ -101,10 +102,10 @@
 
 
 def refusal(reason: Reason, arrived: bool = False, retry_after_ms: int = 0) -> Reply:
-    """Return the reply that tells that the request has not run here."""
+    """Return the reply that says that the request has not run."""
     return Reply(Outcome.NOT_RUN, reason, arrived, retry_after_ms=retry_after_ms)
 
 
 def unknown(reason: Reason) -> Reply:
-    """Return the reply that tells that the request may have run."""
+    """Return the reply that says that the request may have run."""
     return Reply(Outcome.UNKNOWN, reason, arrived=True)
--- a/src/cranklane/sidecar/request/call_tree.py
+++ b/src/cranklane/sidecar/request/call_tree.py
@@ -1,10 +1,11 @@
-"""Ties the calls that a worker makes to the request whose run makes them.
+"""Correlates the calls that a worker makes with the run that makes them.
 
-A call deep in a tree matters as much as the request at its root: refusing it throws
-away all that was done for that request. The link is the request id: a worker that
-builds the ids of its calls from the id of the run that makes them (``run.call``)
-has them tied to it by its own sidecar, through which both pass. A call whose id
-names no run that is under way there is taken for a root of its own.
+A call deep in a tree matters as much as its root request: refusing it wastes all that was done
+for that. The link is the request id: a worker that builds the ids of its calls from the id of
+the run that makes them (``run.call``) has them correlated by its own sidecar, through which
+both pass. A call whose id names no run under way there is taken for a root request.
+
+Owns the runs under way at this machine's worker.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Root:
-    """The request at the root of a call tree.
-
-    :ivar priority: of its route, 0 first.
-    :ivar began_at: monotonic second of this process at which it was taken.
-    :ivar objective_at: monotonic second until which its answer is worth most.
-    :ivar deadline: monotonic second at which nobody waits for its answer any more.
-    :ivar is_retry: whether a run on the way from it to here was sent a second time:
-        what such a run calls is a repeat at the services called.
+    """The root request of a call tree. Times are monotonic seconds of this process.
+
+    :ivar priority: of its route, or of its tenant; 0 is the most important.
+    :ivar began_at: when it was taken.
+    :ivar objective_at: until when its answer is in time.
+    :ivar deadline: when its caller gives up.
+    :ivar is_retry: whether a run on the way from it to here is a retry: what such a run calls
+        is a retry at the services called.
     """
 
     priority: int
@@ -51,13 +52,13 @@
 
 @dataclass(slots=True)
 class Run:
-    """One run under way.
+    """One run under way at the worker.
 
-    :ivar downstream_starved: whether a call that it made found no room, here or further down.
+    :ivar downstream_starved: whether a call that it made found no capacity, there or further down.
     :ivar calls_under_way: calls that it made and that have not ended.
     :ivar failure: the first call that it made and that failed.
     :ivar tenant: whose request it is; empty where requests need no key.
-    :ivar downstream_cost: what its calls, and theirs, have cost.
+    :ivar downstream_cost: slot time of its calls, and of theirs.
     """
 
     root: Root
@@ -76,7 +77,8 @@
         """Take how a call that it made ended.
 
         :param failure: what failed, None after an answer.
-        :param work: what the call has cost.
+        :param starved: whether it failed for lack of capacity, there or further down.
+        :param work: slot time of the call and of the calls below it.
         """
         self.calls_under_way -= 1
         self.failure = self.failure or failure
@@ -87,12 +89,12 @@
 class CallTree:
     """The runs under way at one worker, by request id.
 
-    :ivar ties: whether a call was ever tied to a run: whether its worker's ids do so.
+    :ivar correlates: whether a call was ever correlated: whether the worker's ids allow it.
     """
 
     def __init__(self) -> None:
         self._runs: dict[str, Run] = {}
-        self.ties = False
+        self.correlates = False
 
     def begin(self, request: str, root: Root, tenant: str = "") -> Run:
         """Take that the worker runs a request of a tenant."""
@@ -113,5 +115,5 @@
         """
         name, separator, _ = request.rpartition(ID_SEPARATOR)
         run = self._runs.get(name) if separator else None
-        self.ties |= run is not None
+        self.correlates |= run is not None
         return run
--- a/src/cranklane/sidecar/request/identity.py
+++ b/src/cranklane/sidecar/request/identity.py
@@ -1,9 +1,9 @@
-"""What makes two requests the same, whoever sends them and under whichever id.
+"""Recognises the same request when it comes again, whoever sends it and under whichever id.
 
-A request that comes again has an id, a deadline and headers of its own; what it asks of a
-worker is told by its service, tenant, method, target, host and body. The caller's machine is
-no part of it: the same request may come in anywhere. A tenant is: none can have a request of
-another taken for its own.
+A request that comes again has another id, deadline and other headers; what it asks of a worker
+is given by its service, tenant, method, target, host and body. The caller's machine is no part
+of the identity: the same request may enter anywhere. The tenant is: no tenant can have a
+request quarantined that another one sends.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
 
 IDENTITY_BYTES = 16
-"""Bytes of a digest that are kept: two of 10 ** 9 requests are alike with probability
-10 ** -21, and nobody can make one that is like another's."""
+"""Bytes of the digest that are kept: any two of 10 ** 9 requests collide with probability
+10 ** -21, and nobody can construct a collision with another's request."""
 
 _HOST = b"\r\nhost:"
 
--- a/src/cranklane/sidecar/request/slot_work.py
+++ b/src/cranklane/sidecar/request/slot_work.py
@@ -1,8 +1,8 @@
-"""Time that the workers of each service spent for the sake of one request.
+"""Time that the workers of each service spent for one request.
 
-A run that is done for a request which then fails was done in vain. Each sidecar sees
-only the runs of its own worker, so the sums travel up the call tree with the answers,
-and the sidecar at which the request began knows them all when it ends.
+A run for a request that fails in the end was wasted. Each sidecar sees only the runs of its
+own worker, so the sums travel up the call tree with the answers, and the sidecar at which the
+request began knows them all when it ends.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class SlotWork:
-    """Milliseconds that slots were held, by service.
+    """Milliseconds that slots were taken, by service.
 
     An answer that is lost takes its sums along: what is known here is a lower bound.
     """
@@ -34,7 +34,7 @@
         known[service] = known.get(service, 0) + milliseconds
 
     def add_all(self, other: SlotWork) -> None:
-        """Count what was spent for a part of the same request."""
+        """Add the sums of a call made for the same request."""
         for service, milliseconds in other:
             self.add(service, milliseconds)
 
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 
 from cranklane.common.units import MICROSECONDS, MILLISECONDS
 from cranklane.outcome import Outcome, Reason
@@ -29,43 +30,52 @@
 from cranklane.sidecar.routing.retry_policy import Verdict
 from cranklane.sidecar.routing.worker_choice import WorkerChoice
 
+_ANSWERED = Verdict.ANSWERED
+"""The usual verdict, looked up once: in Python 3.11 an enum's attribute takes 0.2 us."""
+
+
+@dataclass(frozen=True, slots=True)
+class DispatcherParts:
+    """What a dispatcher works with.
+
+    :ivar gate: admits requests to the worker of this machine.
+    :ivar peers: sends requests to other sidecars.
+    :ivar quarantine: what is known of requests that crash workers.
+    :ivar on_attempt: called after each attempt, with the seconds it took.
+    :ivar on_quarantined: called for each quarantined request, with the seconds left.
+    """
+
+    destinations: Destinations
+    choice: WorkerChoice
+    gate: Gate
+    peers: PeerClient
+    budget: RetryBudget
+    quarantine: Quarantine
+    on_attempt: Callable[[CallProgress, Destination, Reply, float], None]
+    on_quarantined: Callable[[Call, Identity, float], None]
+
 
 class Dispatcher:
     """Runs requests at the workers of their services.
 
     :param own: name of this machine's node.
     :param caller: service of this machine.
-    :param quarantine: what is known of requests that crash workers.
-    :param on_attempt: called after each attempt, with the seconds it took.
-    :param on_quarantined: called for each quarantined request, with the seconds left.
     """
 
-    def __init__(
-        self,
-        runtime: Runtime,
-        destinations: Destinations,
-        choice: WorkerChoice,
-        gate: Gate,
-        peers: PeerClient,
-        budget: RetryBudget,
-        quarantine: Quarantine,
-        own: str,
-        caller: str,
-        on_attempt: Callable[[CallProgress, Destination, Reply, float], None],
-        on_quarantined: Callable[[Call, Identity, float], None],
-    ) -> None:
+    def __init__(self, runtime: Runtime, parts: DispatcherParts, own: str, caller: str) -> None:
         self._runtime = runtime
-        self._destinations = destinations
-        self._choice = choice
-        self._gate = gate
-        self._peers = peers
-        self._feedback = DestinationFeedback(runtime, destinations, peers)
-        self._budget = budget
+        self._destinations = parts.destinations
+        self._choice = parts.choice
+        self._gate = parts.gate
+        self._peers = parts.peers
+        self._feedback = DestinationFeedback(runtime, parts.destinations, parts.peers)
+        self._latencies = self._feedback.latencies
+        self._budget = parts.budget
         self._own = own
         self._caller = caller
-        self._quarantine = quarantine
-        self._on_attempt = on_attempt
-        self._on_quarantined = on_quarantined
+        self._quarantine = parts.quarantine
+        self._on_attempt = parts.on_attempt
+        self._on_quarantined = parts.on_quarantined
 
     def run(self, progress: CallProgress) -> Reply:
         """Return the answer of a worker, or why there is none."""
@@ -121,6 +131,8 @@
         """Return whether another worker is asked after this reply."""
         now = self._runtime.monotonic()
         verdict = retry_policy.decide(progress, reply, now, self._is_quarantined)
+        if verdict is _ANSWERED:
+            return False
         refused = not reply.arrived and reply.reason in AT_CAPACITY
         if refused and verdict not in retry_policy.CALL_IS_OVER:
             progress.refusals += 1
@@ -187,7 +199,7 @@
         route = call.route
         root = call.root
         left = max(0.0, call.deadline - now)
-        expected_latency = self._feedback.expected_latency(route.name)
+        expected_latency = self._latencies.of(route.name)
         start_within = min(left, waiting.max_start_wait(call, expected_latency, now))
         return ForwardRequest(
             deadline_ms=int(left * MILLISECONDS),
--- a/src/cranklane/sidecar/routing/feedback.py
+++ b/src/cranklane/sidecar/routing/feedback.py
@@ -25,17 +25,16 @@
 
 
 class DestinationFeedback:
-    """Keeps destinations current by the replies of attempts."""
+    """Keeps destinations current by the replies of attempts.
+
+    :ivar latencies: the expected latency of each route over all workers.
+    """
 
     def __init__(self, runtime: Runtime, destinations: Destinations, peers: PeerClient) -> None:
         self._runtime = runtime
         self._destinations = destinations
         self._peers = peers
-        self._latencies = ExpectedLatencies()
-
-    def expected_latency(self, route: str) -> float:
-        """Return the usual seconds of a run of a route over all workers; 0: unknown."""
-        return self._latencies.of(route)
+        self.latencies = ExpectedLatencies()
 
     def take(self, call: Call, destination: Destination, reply: Reply, seconds: float) -> None:
         """Take the reply to an attempt.
@@ -45,7 +44,7 @@
         now = self._runtime.monotonic()
         if reply.arrived and measures_latency(reply):
             run_time = reply.run_time_ms / MILLISECONDS or seconds
-            ratio = self._latencies.ratio(call.route.name, run_time)
+            ratio = self.latencies.ratio(call.route.name, run_time)
             destination.slowness.sample(now, ratio)
         if reply.outcome is Outcome.ANSWERED:
             destination.answered(now, reply.load)
--- a/src/cranklane/sidecar/routing/retry_policy.py
+++ b/src/cranklane/sidecar/routing/retry_policy.py
@@ -23,6 +23,10 @@
 """Sidecars asked in turn, also those whose worker is draining or unreachable. A choice: enough
 to get past the workers of a service that is being restarted."""
 
+_WORKER_ERROR = HTTPStatus.INTERNAL_SERVER_ERROR
+"""The one status after which another worker may do better. Looked up once, as are the members
+in the tuples: in Python 3.11 an enum's attribute takes 0.2 us."""
+
 REFUSED_EVERYWHERE = (Reason.QUARANTINED, Reason.RUN_ALONE)
 """Refusals that every other sidecar would repeat: they are about the request, not the worker."""
 
@@ -82,7 +86,7 @@
         # It would crash the next worker too.
         return Verdict.QUARANTINED_MEANWHILE
     if reply.outcome is Outcome.ANSWERED:
-        if reply.status != HTTPStatus.INTERNAL_SERVER_ERROR:
+        if reply.status != _WORKER_ERROR:
             # The worker has decided; another one would say the same.
             return Verdict.ANSWERED
         if reply.downstream_starved:
--- a/src/cranklane/sidecar/routing/worker_choice.py
+++ b/src/cranklane/sidecar/routing/worker_choice.py
@@ -37,6 +37,9 @@
 """Load (requests for each slot) of the best of a subset from which more workers are compared.
 A choice: below it there is hardly any wait (``cost.expected_wait``)."""
 
+_LIVE = MemberState.LIVE
+"""Looked up once: in Python 3.11 an enum's attribute takes 0.2 us, here for each worker."""
+
 
 class WorkerChoice:
     """Chooses among the destinations of a service.
@@ -92,9 +95,7 @@
         live = [
             item
             for item in self._destinations.members(service)
-            if item.state is MemberState.LIVE
-            and item.node not in tried
-            and item.ejected_until <= now
+            if item.state is _LIVE and item.node not in tried and item.ejected_until <= now
         ]
         return max(live, key=lambda item: crc32(identity + item.node.encode()), default=None)
 
@@ -104,9 +105,7 @@
         :param priority: of the root request; what refusals of more important ones say counts.
         """
         now = self._clock()
-        live = [
-            item for item in self._destinations.members(service) if item.state is MemberState.LIVE
-        ]
+        live = [item for item in self._destinations.members(service) if item.state is _LIVE]
         return bool(live) and all(item.is_saturated(now, priority) for item in live)
 
     def _best(
@@ -116,7 +115,7 @@
         candidates = [
             item
             for item in members
-            if item.state is MemberState.LIVE
+            if item.state is _LIVE
             and item.node not in tried
             and not item.is_saturated(now, priority)
             and not item.is_expired(now)
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -13,7 +13,7 @@
 from cranklane.sidecar.request.attempt import Reply, refusal, unknown
 from cranklane.sidecar.request.call import Call, CallProgress
 from cranklane.sidecar.request.call_tree import Root
-from cranklane.sidecar.routing.dispatcher import Dispatcher
+from cranklane.sidecar.routing.dispatcher import Dispatcher, DispatcherParts
 from cranklane.sidecar.routing.retry_policy import (
     CALL_IS_OVER,
     MAX_CAPACITY_REFUSALS,
@@ -208,7 +208,8 @@
 def dispatcher(budget):
     runtime = SimpleNamespace(monotonic=lambda: NOW)
     quarantine = SimpleNamespace(is_empty=True)
-    return Dispatcher(runtime, *[None] * 4, budget, quarantine, *[None] * 4)
+    parts = DispatcherParts(None, None, None, None, budget, quarantine, None, None)
+    return Dispatcher(runtime, parts, "own", "caller")
 
 
 @pytest.mark.parametrize("pays", [True, False])
