--- a/src/cranklane/common/http_client.py
+++ b/src/cranklane/common/http_client.py
@@ -15,6 +15,16 @@
 from cranklane.errors import AnswerCutError
 from cranklane.runtime.interface import Address, Runtime, format_address
 
+CONNECT_SECONDS = 1.0
+"""Seconds a server has to take a connection. A choice: a server that takes longer is as good as
+gone for a call."""
+
+DEFAULT_CONCURRENCY = 64
+"""Requests at once to one server. A choice: enough for an operator's tool."""
+
+DEFAULT_TIMEOUT_SECONDS = 10.0
+"""Seconds without a byte after which a request fails. A choice: for calls without a deadline."""
+
 READ_SIZE = 64 * 1024
 """Bytes asked of the kernel at once when reading a body. A choice: most bodies come
 in one piece."""
@@ -116,17 +126,12 @@
     """Keeps connections to one server.
 
     :param concurrency: requests at once at most; more wait for a connection.
-    :param connect_timeout: seconds to open a connection.
     """
 
     def __init__(
-        self,
-        runtime: Runtime,
-        address: Address,
-        concurrency: int = 64,
-        connect_timeout: float = 1.0,
+        self, runtime: Runtime, address: Address, concurrency: int = DEFAULT_CONCURRENCY
     ) -> None:
-        self._pool = _Pool(runtime, address, concurrency, connect_timeout)
+        self._pool = _Pool(runtime, address, concurrency, CONNECT_SECONDS)
         self._host = format_address(address)
 
     def connect(self) -> Any:
@@ -149,7 +154,7 @@
         path: str,
         headers: Iterable[tuple[str, str]] = (),
         body: bytes = b"",
-        timeout: float = 10.0,
+        timeout: float = DEFAULT_TIMEOUT_SECONDS,
         connection: Any = None,
     ) -> HttpResponse:
         """Send one request once and return when the answer's head is there.
--- a/src/cranklane/common/http_server.py
+++ b/src/cranklane/common/http_server.py
@@ -15,6 +15,10 @@
 CONNECTION_KEY = "cranklane.connection"
 """Key of the WSGI environment under which the caller's connection stands."""
 
+MAX_CONNECTIONS = 10_000
+"""Connections of callers at once; further ones are closed. A choice: far above the callers of one
+node, so that only a fault reaches it."""
+
 IDLE_SECONDS = 60.0
 """Seconds for which a caller's connection may be silent, or take no bytes. A choice: longer than
 clients keep idle connections."""
@@ -81,6 +85,7 @@
 
     :param shared: whether a replacement may listen on the port at the same time.
     :ivar address: where it listens.
+    :ivar connections: open now.
     """
 
     def __init__(
@@ -88,7 +93,6 @@
         runtime: Runtime,
         address: Address,
         application: Any,
-        max_connections: int = 10_000,
         shared: bool = True,
     ) -> None:
         self._server = _Server(address, application, log=None, error_log=sys.stderr)
@@ -97,15 +101,12 @@
         self._server.set_environ()
         self._server.environ["SERVER_NAME"] = address[0]
         self._server.environ["SERVER_PORT"] = str(address[1])
-        self._max_connections = max_connections
         self.connections = 0
-        self.refused_connections = 0
         self._listener: Listener = runtime.listen(address, self._serve, shared)
         self.address = self._listener.address
 
     def _serve(self, connection: Any, address: Address) -> None:
-        if self.connections >= self._max_connections:
-            self.refused_connections += 1
+        if self.connections >= MAX_CONNECTIONS:
             connection.close()
             return
         self.connections += 1
--- a/src/cranklane/common/metrics_server.py
+++ b/src/cranklane/common/metrics_server.py
@@ -7,6 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
+from http import HTTPStatus
 from typing import Any
 
 from cranklane.common.small_http import SmallAnswer
@@ -27,8 +28,8 @@
     def handle(self, method: str, path: str, _body: bytes) -> SmallAnswer:
         """Answer one call."""
         if method != "GET" or path != METRICS_PATH:
-            return SmallAnswer(404)
-        return SmallAnswer(200, self._text(), _CONTENT_TYPE)
+            return SmallAnswer(HTTPStatus.NOT_FOUND)
+        return SmallAnswer(HTTPStatus.OK, self._text(), _CONTENT_TYPE)
 
 
 class GaugeRegistry:
--- a/src/cranklane/node/context.py
+++ b/src/cranklane/node/context.py
@@ -70,9 +70,6 @@
         self._random = random
         self._contexts: dict[str, CallContext] = {}
 
-    def __len__(self) -> int:
-        return len(self._contexts)
-
     def add(self, context: CallContext) -> None:
         """Give the context a token and keep it."""
         context.token = f"{self._random.getrandbits(_TOKEN_BITS):032x}"
--- a/src/cranklane/node/peers.py
+++ b/src/cranklane/node/peers.py
@@ -25,7 +25,7 @@
 
     :param hello: returns this node's greeting.
     :param version: returns the configuration version in force here.
-    :param on_newer: called with a member that shows a newer version.
+    :param on_newer: called when a member shows a newer version.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         runtime: Runtime,
         hello: Callable[[], Hello],
         version: Callable[[], int],
-        on_newer: Callable[[MemberView, int], None],
+        on_newer: Callable[[], None],
     ) -> None:
         self._runtime = runtime
         self._hello = hello
@@ -62,7 +62,7 @@
     def _dial(self, member: MemberView, timeout: float) -> PeerConnection:
         def on_load(report: LoadReport) -> None:
             member.reported_load(report, report.queued)
-            self._check_version(member, report.version)
+            self._check_version(report.version)
 
         try:
             connection = PeerConnection(
@@ -73,12 +73,12 @@
         if connection.peer.incarnation != member.incarnation:
             connection.close()
             raise ConnectionLostError("another incarnation answers at the member's address")
-        self._check_version(member, connection.peer.version)
+        self._check_version(connection.peer.version)
         return connection
 
-    def _check_version(self, member: MemberView, version: int) -> None:
+    def _check_version(self, version: int) -> None:
         if version > self._version():
-            self._on_newer(member, version)
+            self._on_newer()
 
     def forget(self, member: MemberView) -> None:
         """Drop the connection of a member that is gone."""
@@ -87,6 +87,3 @@
         connection = self._connections.pop(key, None)
         if connection is not None:
             connection.close()
-
-    def __len__(self) -> int:
-        return len(self._connections)
--- a/src/cranklane/node/process.py
+++ b/src/cranklane/node/process.py
@@ -66,7 +66,7 @@
         self.members = MemberTable(runtime.monotonic)
         self.contexts = ContextTable(runtime.random)
         self.admission = Admission(runtime.monotonic, self.configuration.share)
-        self.peers = PeerPool(runtime, self._hello, self._version, self._newer_seen)
+        self.peers = PeerPool(runtime, self._hello, self._version, self._newer_version_seen)
         self.outbound = self._new_outbound()
         ledger = LedgerClient(runtime, self.members, self._hello)
         self.once = OnceCalls(runtime, ledger)
@@ -200,9 +200,6 @@
     def _version(self) -> int:
         return self.configuration.version
 
-    def _newer_seen(self, _member: MemberView, _version: int) -> None:
-        self._newer_version_seen()
-
     def _newer_version_seen(self) -> None:
         self.metrics.event("newer_version_seen")
         self.subscription.newer_seen()
--- a/src/cranklane/node/worker.py
+++ b/src/cranklane/node/worker.py
@@ -90,10 +90,6 @@
             own.append((headers.IDEMPOTENCY_KEY, call.key))
         return own + call.headers
 
-    def close(self) -> None:
-        """Close idle connections."""
-        self._client.close()
-
 
 def _failure(error: HttpRequestError) -> WorkerFailure:
     if not error.sent:
