--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -11,7 +11,8 @@
 from cranklane.control.operator_api import OperatorApi
 from cranklane.control.status import ControlStatus
 from cranklane.control.store import ConfigurationStore
-from cranklane.distribution.node_service import NodeService, NodeServiceTiming
+from cranklane.distribution.group_contact import NodeServiceTiming
+from cranklane.distribution.node_service import NodeService
 from cranklane.distribution.publisher import SILENT_SECONDS
 from cranklane.records.messages import Hello
 from cranklane.replication.joining import Joining
@@ -129,5 +130,5 @@
 
     @property
     def in_touch(self) -> bool:
-        """Whether this process has heard of its group's leader lately."""
+        """Whether this process was lately in touch with its group's leader."""
         return self._nodes.in_touch
--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -15,7 +15,8 @@
 from cranklane.controller.route_editor import RouteEditor
 from cranklane.controller.route_store import RouteTableStore
 from cranklane.controller.sidecar_service import SidecarService
-from cranklane.distribution.node_service import NodeService, NodeServiceTiming
+from cranklane.distribution.group_contact import NodeServiceTiming
+from cranklane.distribution.node_service import NodeService
 from cranklane.distribution.publisher import SILENT_SECONDS
 from cranklane.records.messages import Hello
 from cranklane.replication.membership_change import MembershipChange
@@ -90,7 +91,7 @@
         self._log = logger(process="controller", node=settings.name)
         self.store = RouteTableStore()
         self._nodes = NodeService(
-            runtime, settings.name, self.store, self._hello, self._log, TIMING, tells_replicas=True
+            runtime, settings.name, self.store, self._hello, self._log, TIMING, sends_replicas=True
         )
         self.membership = self._nodes.membership
         self.publisher = self._nodes.publisher
@@ -178,7 +179,7 @@
 
     def _fleet(self) -> FleetCount:
         """Return how many sidecars there are, and how many tell this process their usage."""
-        heard = self.publisher.heard_since(self.runtime.monotonic() - HEARD_SECONDS)
+        heard = self.publisher.active_since(self.runtime.monotonic() - HEARD_SECONDS)
         return FleetCount(len(self.membership), heard)
 
     def _seeds(self) -> list[str]:
@@ -193,5 +194,5 @@
 
     @property
     def in_touch(self) -> bool:
-        """Whether this process has heard of its group's leader lately."""
+        """Whether this process was lately in touch with its group's leader."""
         return self._nodes.in_touch
--- a/src/cranklane/distribution/membership.py
+++ b/src/cranklane/distribution/membership.py
@@ -106,8 +106,8 @@
         )
         self._put(member, self._own)
 
-    def heard(self, identity: Subscribe, heartbeat: Heartbeat) -> None:
-        """Take a node's heartbeat."""
+    def heartbeat(self, identity: Subscribe, heartbeat: Heartbeat) -> None:
+        """Renew a node's lease, and take its state when that has changed."""
         self._saw_version(identity.node, heartbeat.version, self._own)
         known = self._known.get(identity.node)
         if known is None or known.owner != self._own:
--- a/src/cranklane/distribution/node_service.py
+++ b/src/cranklane/distribution/node_service.py
@@ -8,45 +8,28 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any
 
 import gevent
 
 from cranklane.distribution.exchange import Exchange
+from cranklane.distribution.group_contact import GroupContact, NodeServiceTiming
 from cranklane.distribution.membership import Membership
-from cranklane.distribution.publisher import PING_SECONDS, Publisher, RowSource
+from cranklane.distribution.publisher import Publisher
 from cranklane.distribution.sidecar_support import SidecarSupport
+from cranklane.distribution.subscriber_updates import RowSource
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import Hello, MemberReport, ReplicaMember, Subscribe
 from cranklane.replication.replica import Replica
 from cranklane.runtime.interface import Runtime
 
 
-@dataclass(frozen=True)
-class NodeServiceTiming:
-    """Times in seconds.
-
-    :ivar stale: out of touch with the group after which subscribers are sent away.
-    :ivar last_resort: that a node which found no other process stays nevertheless.
-    :ivar touch: between looks at whether this process is in touch.
-    :ivar expiry: between looks for members whose lease has run out.
-    :ivar ping: between pings to a subscriber that there is no news for.
-    """
-
-    stale: float
-    last_resort: float
-    touch: float
-    expiry: float
-    ping: float = PING_SECONDS
-
-
 class NodeService:
     """Members and subscribers of one control process.
 
     :param source: the configuration that subscribers get.
     :param hello: returns this process's greeting.
-    :param tells_replicas: whether subscribers are told where else to subscribe.
+    :param sends_replicas: whether subscribers get the addresses of other control processes.
     :ivar membership: who is there.
     :ivar publisher: serves the subscribers.
     """
@@ -59,26 +42,26 @@
         hello: Callable[[], Hello],
         log: Any,
         timing: NodeServiceTiming,
-        tells_replicas: bool = False,
+        sends_replicas: bool = False,
     ) -> None:
         self._runtime = runtime
         self._log = log
         self._timing = timing
         self._replica: Replica | None = None
-        self._in_touch_at = runtime.monotonic()
+        self._contact = GroupContact(timing, runtime.monotonic)
         self.membership = Membership(name, runtime.monotonic, self._members_changed)
-        replicas = self._replica_addresses if tells_replicas else None
+        replicas = self._replica_addresses if sends_replicas else None
         self.publisher = Publisher(runtime, source, self.membership, replicas, timing.ping)
         self._exchange = Exchange(runtime, self.membership, self._others, hello)
 
     def serve_sidecars(self, sidecars: SidecarSupport) -> None:
         """Serve also what only sidecars need."""
-        self.publisher.sidecars = sidecars
+        self.publisher.serve_sidecars(sidecars)
         self._exchange.sidecars = sidecars
         self._runtime.spawn(sidecars.run)
 
     def usage_changed(self) -> None:
-        """Take that sums of tenants' usage are new, for other control processes."""
+        """Send other control processes the totals of tenants' usage that are new."""
         self._exchange.changed()
 
     def start(self, replica: Replica) -> None:
@@ -94,7 +77,7 @@
         """Serve the connection of a node, or of another control process."""
         _, message = records.receive()
         match message:
-            case Subscribe() if self.in_touch or message.last_resort:
+            case Subscribe() if self._contact.admits(message.last_resort):
                 self._log.info("subscribed", member=message.node, version=message.version)
                 self.publisher.serve(records, message)
             case MemberReport():
@@ -104,8 +87,8 @@
 
     @property
     def in_touch(self) -> bool:
-        """Whether this process has heard of its group's leader lately."""
-        return self._runtime.monotonic() - self._in_touch_at < self._timing.stale
+        """Whether this process was lately in touch with its group's leader."""
+        return self._contact.in_touch
 
     def _members(self) -> list[ReplicaMember]:
         return self._replica.members.current if self._replica is not None else []
@@ -126,14 +109,13 @@
         out_of_touch = False
         while True:
             gevent.sleep(self._timing.touch)
-            now = self._runtime.monotonic()
             if self._replica is not None and self._replica.in_touch:
-                self._in_touch_at = now
+                self._contact.confirm()
             if self.in_touch == out_of_touch:
                 out_of_touch = not out_of_touch
                 self._log.warning("out_of_touch" if out_of_touch else "in_touch")
             if out_of_touch:
-                self.publisher.send_away(now, now - self._timing.last_resort)
+                self.publisher.send_away(*self._contact.oldest_allowed())
 
     def _expire(self) -> None:
         while True:
--- /dev/null
+++ b/src/cranklane/distribution/subscriber.py
@@ -0,0 +1,40 @@
+"""One subscribed node as its control process sees it."""
+
+from __future__ import annotations
+
+from gevent.event import Event
+
+from cranklane.records.connection import RecordConnection
+from cranklane.records.messages import Subscribe
+
+
+class Subscriber:
+    """A subscription and what has been sent on it.
+
+    :ivar sent_version: revision of the configuration sent last.
+    :ivar sent_services: services whose rows and members were sent; None: all.
+    :ivar sent_members: position of the members sent last; 0: none yet.
+    :ivar sent_replicas: addresses of control processes sent last.
+    :ivar sent_shares: position of the admission ratios sent last.
+    :ivar subscribed_at: monotonic second of its subscription.
+    :ivar last_record_at: monotonic second of its last record, 0 for none.
+    :ivar wakeup: set when there may be something to send.
+    """
+
+    def __init__(self, identity: Subscribe, records: RecordConnection) -> None:
+        self.identity = identity
+        self.records = records
+        self.sent_version = identity.version
+        self.sent_services: frozenset[str] | None = frozenset()
+        self.sent_members = 0
+        self.sent_replicas: list[str] = []
+        self.sent_shares = 0
+        self.subscribed_at = 0.0
+        self.last_record_at = 0.0
+        self.wakeup = Event()
+
+    @property
+    def service(self) -> str:
+        """Full name of the node's service, or empty at an edge."""
+        identity = self.identity
+        return f"{identity.tenant}.{identity.service}" if identity.service else ""
--- /dev/null
+++ b/src/cranklane/distribution/subscriber_updates.py
@@ -0,0 +1,184 @@
+"""Works out and sends what a subscriber has not seen yet.
+
+Reads configuration, members and admission ratios that others own; keeps the frames that many
+subscribers get alike.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Protocol
+
+from cranklane.distribution.membership import Membership
+from cranklane.distribution.shared_frames import NewestFrames
+from cranklane.distribution.sidecar_support import SidecarSupport
+from cranklane.distribution.subscriber import Subscriber
+from cranklane.policy.names import SYSTEM_TENANT
+from cranklane.records.connection import CONNECTION_CALL, encode_frame
+from cranklane.records.messages import (
+    ConfigDelta,
+    ConfigRow,
+    ControlReplicas,
+    Member,
+    MemberDelta,
+    ServiceRow,
+)
+
+
+class RowSource(Protocol):
+    """The store that configuration comes from.
+
+    :ivar revision: of the newest configuration.
+    """
+
+    revision: int
+
+    def delta(self, base: int) -> ConfigDelta:
+        """Return what a subscriber at ``base`` needs to be current."""
+
+    def value(self, key: str) -> bytes:
+        """Return a row's value, empty when there is none."""
+
+
+class SubscriberUpdates:
+    """Sends updates of one control process.
+
+    :param replicas: returns the addresses at which nodes may subscribe; None sends none.
+    :ivar sidecars: serves what only sidecars need; None where there are none.
+    """
+
+    def __init__(
+        self,
+        source: RowSource,
+        membership: Membership,
+        replicas: Callable[[], list[str]] | None,
+    ) -> None:
+        self._source = source
+        self._membership = membership
+        self._replicas = replicas
+        self._configuration_frames = NewestFrames()
+        self._member_frames = NewestFrames()
+        self.sidecars: SidecarSupport | None = None
+
+    def send(self, subscriber: Subscriber) -> bool:
+        """Send what a subscriber has not seen; return whether there was anything.
+
+        :raises ConnectionLostError: when its connection is gone.
+        """
+        sent = self._send_replicas(subscriber)
+        sent |= self._send_configuration(subscriber)
+        sent |= self._send_members(subscriber)
+        sent |= self._send_shares(subscriber)
+        return sent
+
+    def resume(self, subscriber: Subscriber) -> None:
+        """Note what a subscriber has already that restarts with the newest configuration."""
+        if subscriber.identity.version >= self._source.revision:
+            subscriber.sent_services = self.services_of(subscriber)
+
+    def _send_replicas(self, subscriber: Subscriber) -> bool:
+        addresses = self._replicas() if self._replicas is not None else []
+        if addresses == subscriber.sent_replicas:
+            return False
+        subscriber.sent_replicas = addresses
+        subscriber.records.send(ControlReplicas(addresses))
+        return True
+
+    def _send_shares(self, subscriber: Subscriber) -> bool:
+        if self.sidecars is None:
+            return False
+        shares = self.sidecars.shares_since(subscriber.sent_shares)
+        if shares is None:
+            return False
+        subscriber.sent_shares = self.sidecars.shares_position
+        subscriber.records.send(shares)
+        return True
+
+    def _send_configuration(self, subscriber: Subscriber) -> bool:
+        revision = self._source.revision
+        if revision <= subscriber.sent_version:
+            return False
+        if subscriber.identity.everything:
+            self._send_shared_configuration(subscriber, revision)
+        else:
+            self._send_rows_of_services(subscriber)
+        return True
+
+    def _send_shared_configuration(self, subscriber: Subscriber, revision: int) -> None:
+        base = subscriber.sent_version
+        frame = self._configuration_frames.get(
+            (base, revision), lambda: encode_frame(CONNECTION_CALL, self._source.delta(base))
+        )
+        subscriber.records.send_frame(frame)
+        subscriber.sent_version = revision
+
+    def _send_rows_of_services(self, subscriber: Subscriber) -> None:
+        """Send the rows that concern a node: those of its service and of what that calls."""
+        delta = self._source.delta(subscriber.sent_version)
+        services = self.services_of(subscriber)
+        if services != subscriber.sent_services:
+            # It now calls services whose rows and members it has never had.
+            subscriber.sent_services = services
+            subscriber.sent_members = 0
+            delta = self._source.delta(0)
+        if services is not None:
+            delta.rows = [row for row in delta.rows if _is_for(row, services)]
+        subscriber.records.send(delta)
+        subscriber.sent_version = delta.version
+
+    def services_of(self, subscriber: Subscriber) -> frozenset[str] | None:
+        """Return the services a node needs to know, or None for all."""
+        if subscriber.identity.everything:
+            return None
+        own = subscriber.identity
+        value = self._source.value(f"service/{own.tenant}/{own.service}")
+        row = ServiceRow.unpack(value) if value else ServiceRow()
+        ledgers = [f"{SYSTEM_TENANT}.{group}" for group in row.ledgers]
+        return frozenset({subscriber.service, *row.calls, *ledgers})
+
+    def _send_members(self, subscriber: Subscriber) -> bool:
+        position = self._membership.position
+        if position == subscriber.sent_members:
+            return False
+        if subscriber.identity.everything:
+            return self._send_shared_members(subscriber, position)
+        return self._send_members_of_services(subscriber)
+
+    def _send_shared_members(self, subscriber: Subscriber, position: int) -> bool:
+        sent = subscriber.sent_members
+        frame = self._member_frames.get((sent, position), lambda: self._member_frame(sent))
+        subscriber.sent_members = position
+        if not frame:
+            return False
+        subscriber.records.send_frame(frame)
+        return True
+
+    def _send_members_of_services(self, subscriber: Subscriber) -> bool:
+        whole = subscriber.sent_members == 0
+        changed, position = self._membership.since(subscriber.sent_members)
+        subscriber.sent_members = position
+        members = [member for member in changed if _needs(subscriber, member)]
+        if not members and not whole:
+            return False
+        subscriber.records.send(MemberDelta(whole, members))
+        return True
+
+    def _member_frame(self, sent: int) -> bytes:
+        """Return the frame with all members changed since a position; empty for none."""
+        changed, _ = self._membership.since(sent)
+        members = [member for member in changed if member.service]
+        if not members and sent:
+            return b""
+        return encode_frame(CONNECTION_CALL, MemberDelta(sent == 0, members))
+
+
+def _needs(subscriber: Subscriber, member: Member) -> bool:
+    services = subscriber.sent_services
+    if not member.service:
+        return False
+    return services is None or f"{member.tenant}.{member.service}" in services
+
+
+def _is_for(row: ConfigRow, services: frozenset[str]) -> bool:
+    kind, _, rest = row.key.partition("/")
+    return kind == "tenant" or rest.replace("/", ".") in services
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -13,7 +13,8 @@
 from typing import Any
 
 from cranklane.control.store import ConfigurationStore
-from cranklane.distribution.publisher import Publisher, Subscriber
+from cranklane.distribution.publisher import Publisher
+from cranklane.distribution.subscriber import Subscriber
 from cranklane.distribution.subscription import Subscription
 from cranklane.ledger.store import LedgerDecision, LedgerStore
 from cranklane.node.admission import Admission
--- a/tests/test_publisher_frames.py
+++ b/tests/test_publisher_frames.py
@@ -6,7 +6,7 @@
 
 from cranklane.controller.route_store import RouteTableStore
 from cranklane.distribution.membership import Membership
-from cranklane.distribution.publisher import _NewestFrames
+from cranklane.distribution.shared_frames import NewestFrames
 from cranklane_lab.simulation.mesh import route_table
 from mesh_support import ROUTES, play
 
@@ -56,7 +56,7 @@
 
 
 def test_frames_of_an_older_state_are_made_anew():
-    frames = _NewestFrames()
+    frames = NewestFrames()
     made = []
 
     def frame(name):
