--- a/src/cranklane/distribution/membership.py
+++ b/src/cranklane/distribution/membership.py
@@ -1,8 +1,7 @@
 """Which nodes are there: joins, drains and losses as one ordered list of changes.
 
-Each control process keeps the leases of the nodes subscribed to it, its own, and
-tells the others of them. It believes another process's word on a node as long as
-it hears from that process.
+Each control process owns the leases of the nodes subscribed to it and reports them to the
+others. It takes another process's report on a node as long as that process reports.
 """
 
 from __future__ import annotations
@@ -10,41 +9,45 @@
 from collections import OrderedDict
 from collections.abc import Callable
 from dataclasses import dataclass
+from itertools import takewhile
 
 from cranklane.distribution.member_state import MemberState
 from cranklane.records.messages import Heartbeat, Member, MemberReport, NodeVersion, Subscribe
 
 LEASE_SECONDS = 6.0
-"""Seconds without a heartbeat after which a node counts as gone."""
+"""Time without a heartbeat after which a node counts as silent. A choice: three heartbeats of
+a node (``follower.HEARTBEAT_SECONDS``)."""
 
 OWNER_LEASE_SECONDS = 30.0
-"""Seconds that members stay whose control process is not heard any more: those
-that are there subscribe elsewhere, and the others are found out by their callers."""
+"""Time that members stay whose control process does not report any more. A choice: those that
+are there subscribe elsewhere within it, and callers find out the others."""
 
 SESSION_SHIFT = 10
 """A member's sequence is its session in the high bits and a count of changes in
-the low ones, so that what a node's newest control process says goes first."""
+the low ones, so that the report of a node's newest control process goes first. A choice: 1,024
+changes in one session."""
 
 
 @dataclass
 class _Known:
-    """A member and why it is believed to be there.
+    """A member and why it counts as being there.
 
-    :ivar owner: the control process it is subscribed to; empty: nobody's now.
-    :ivar heard_at: last heartbeat, or when its owner was lost.
-    :ivar presumed: silent only because its owner was not heard.
+    :ivar owner: the control process it is subscribed to; empty: none now.
+    :ivar last_heartbeat_at: monotonic second of its last heartbeat, or of the loss of its owner.
+    :ivar position: of its last change.
+    :ivar presumed: silent only because its owner does not report.
     """
 
     member: Member
     owner: str
-    heard_at: float
+    last_heartbeat_at: float
     position: int = 0
     presumed: bool = False
 
 
 @dataclass(frozen=True)
 class _Version:
-    """The version in force at a node, and which control process said so."""
+    """The version in force at a node, and which control process reported it."""
 
     number: int
     owner: str
@@ -65,7 +68,7 @@
         self._on_change = on_change
         # In the order of their changes, so that a reader sees only what is new.
         self._known: OrderedDict[str, _Known] = OrderedDict()
-        self._owner_heard: dict[str, float] = {}
+        self._owner_reported_at: dict[str, float] = {}
         self._versions: OrderedDict[str, _Version] = OrderedDict()
         self._position = 1
 
@@ -83,9 +86,9 @@
 
     # Own subscribers.
 
-    def joined(self, identity: Subscribe) -> None:
-        """Take a node or an edge that has subscribed."""
-        self._saw_version(identity.node, identity.version, self._own)
+    def subscribed(self, identity: Subscribe) -> None:
+        """Add a node or an edge that has subscribed here, unless a newer one is known."""
+        self._set_version(identity.node, identity.version, self._own)
         sequence = identity.session << SESSION_SHIFT
         known = self._known.get(identity.node)
         if known is not None:
@@ -108,22 +111,22 @@
 
     def heartbeat(self, identity: Subscribe, heartbeat: Heartbeat) -> None:
         """Renew a node's lease, and take its state when that has changed."""
-        self._saw_version(identity.node, heartbeat.version, self._own)
+        self._set_version(identity.node, heartbeat.version, self._own)
         known = self._known.get(identity.node)
         if known is None or known.owner != self._own:
             return
         if known.member.incarnation != heartbeat.incarnation:
             return
-        known.heard_at = self._clock()
+        known.last_heartbeat_at = self._clock()
         member = known.member
-        told = (
+        stated = (
             heartbeat.state,
             heartbeat.slots,
             heartbeat.instance,
             heartbeat.faults,
             heartbeat.slowness,
         )
-        if (member.state, member.slots, member.instance, member.faults, member.slowness) != told:
+        if (member.state, member.slots, member.instance, member.faults, member.slowness) != stated:
             changed = member.replaced(
                 sequence=member.sequence + 1,
                 state=heartbeat.state,
@@ -137,22 +140,18 @@
 
     # Other control processes.
 
-    def reported(self, report: MemberReport) -> None:
-        """Take another control process's word on the nodes subscribed to it."""
+    def take_report(self, report: MemberReport) -> None:
+        """Take another control process's report on the nodes subscribed to it."""
         owner = report.owner
-        self.owner_heard(owner)
+        self._owner_reported_at[owner] = self._clock()
         for version in report.versions:
-            self._saw_version(version.node, version.version, owner)
+            self._set_version(version.node, version.version, owner)
         for member in report.members:
-            self._take_report(owner, member)
+            self._take_member(owner, member)
         if report.whole:
-            self._release(owner, {member.node for member in report.members})
+            self._release(owner, named={member.node for member in report.members})
 
-    def owner_heard(self, owner: str) -> None:
-        """Take that another control process is there."""
-        self._owner_heard[owner] = self._clock()
-
-    def _take_report(self, owner: str, member: Member) -> None:
+    def _take_member(self, owner: str, member: Member) -> None:
         known = self._known.get(member.node)
         if known is not None:
             order = (known.member.incarnation, known.member.sequence)
@@ -169,7 +168,7 @@
         for node, known in self._known.items():
             if known.owner == owner and node not in named:
                 known.owner = ""
-                known.heard_at = self._clock()
+                known.last_heartbeat_at = self._clock()
 
     # Changes.
 
@@ -185,23 +184,25 @@
             if _is_there(known.member) and self._is_expired(known, now)
         ]
         for known in expired:
-            presumed = known.owner not in ("", self._own)
-            self._set_state(known, MemberState.SILENT, presumed)
+            member = known.member
+            silent = member.replaced(sequence=member.sequence + 1, state=MemberState.SILENT)
+            self._put(silent, known.owner, presumed=self._is_of_another(known))
         return [known.member for known in expired]
 
-    def _is_expired(self, known: _Known, now: float) -> bool:
-        own = known.owner in ("", self._own)
-        lease = LEASE_SECONDS if own else OWNER_LEASE_SECONDS
-        return now - self._heard_at(known) > lease
+    def _is_of_another(self, known: _Known) -> bool:
+        """Return whether another control process keeps the member's lease."""
+        return known.owner not in ("", self._own)
 
-    def _heard_at(self, known: _Known) -> float:
-        if known.owner in ("", self._own):
-            return known.heard_at
-        return self._owner_heard.get(known.owner, known.heard_at)
+    def _is_expired(self, known: _Known, now: float) -> bool:
+        """Return whether the lease has run out that keeps a member in the list.
 
-    def _set_state(self, known: _Known, state: MemberState, presumed: bool = False) -> None:
-        changed = known.member.replaced(sequence=known.member.sequence + 1, state=state)
-        self._put(changed, known.owner, presumed)
+        For a member of this process, or of none, that is its own; for one of another control
+        process the lease of that process.
+        """
+        if self._is_of_another(known):
+            reported_at = self._owner_reported_at.get(known.owner, known.last_heartbeat_at)
+            return now - reported_at > OWNER_LEASE_SECONDS
+        return now - known.last_heartbeat_at > LEASE_SECONDS
 
     def _put(self, member: Member, owner: str, presumed: bool = False) -> None:
         self._position += 1
@@ -224,11 +225,8 @@
         return changed, self._position
 
     def _changed_after(self, position: int) -> list[_Known]:
-        changed = []
-        for known in reversed(self._known.values()):
-            if known.position <= position:
-                break
-            changed.append(known)
+        newer = takewhile(lambda known: known.position > position, reversed(self._known.values()))
+        changed = list(newer)
         changed.reverse()
         return changed
 
@@ -237,18 +235,20 @@
         members = [
             known.member for known in self._changed_after(position) if known.owner == self._own
         ]
-        versions = []
-        for node, version in reversed(self._versions.items()):
-            if version.position <= position:
-                break
-            if version.owner == self._own:
-                versions.append(NodeVersion(version.number, node))
+        newer = takewhile(
+            lambda item: item[1].position > position, reversed(self._versions.items())
+        )
+        versions = [
+            NodeVersion(version.number, node)
+            for node, version in newer
+            if version.owner == self._own
+        ]
         report = MemberReport(position == 0, self._own, members, versions)
         return report, self._position
 
     # Versions in force.
 
-    def _saw_version(self, node: str, number: int, owner: str) -> None:
+    def _set_version(self, node: str, number: int, owner: str) -> None:
         known = self._versions.get(node)
         if known is not None and (known.number, known.owner) == (number, owner):
             return
@@ -257,7 +257,7 @@
         self._versions.move_to_end(node)
 
     def version_of(self, node: str) -> int:
-        """Return the version in force at a node, as last told; 0 for none."""
+        """Return the version in force at a node, as last reported; 0 for none."""
         known = self._versions.get(node)
         return known.number if known is not None else 0
 
--- a/src/cranklane/distribution/publisher.py
+++ b/src/cranklane/distribution/publisher.py
@@ -141,7 +141,7 @@
             replaced.records.close()
         self.subscribers[name] = subscriber
         self._updates.resume(subscriber)
-        self._membership.joined(subscriber.identity)
+        self._membership.subscribed(subscriber.identity)
         self._runtime.spawn(self._publish, subscriber)
 
     def _leave(self, subscriber: Subscriber) -> None:
