--- a/src/cranklane/common/http_client.py
+++ b/src/cranklane/common/http_client.py
@@ -170,12 +170,18 @@
         except HttpRequestError:
             self.give_back(connection)
             raise
+        self._send(connection, data, timeout)
+        return self._read_head(connection, method)
+
+    def _send(self, connection: Any, data: bytes, timeout: float) -> None:
         try:
             connection.settimeout(timeout)
             connection.sendall(data)
         except OSError as error:
             self._pool.release_socket(connection)
             raise HttpRequestError(str(error), sent=True) from error
+
+    def _read_head(self, connection: Any, method: str) -> HttpResponse:
         try:
             response = _Response(connection, self._pool, block_size=READ_SIZE, method=method)
         except _PARSER_ERRORS as error:
--- a/src/cranklane/node/once.py
+++ b/src/cranklane/node/once.py
@@ -123,24 +123,15 @@
         """
         if not message.key:
             return Err(OnceRefusal(Outcome.NOT_RUN, Reason.KEY_MISSING))
-        group = ledgers[zlib.crc32(message.key.encode()) % len(ledgers)] if ledgers else ""
         ticket = OnceTicket(
             self,
-            group,
+            ledger_group(message.key, ledgers),
             self.runtime.random.getrandbits(_ATTEMPT_BITS),
             message,
             self.runtime.monotonic() + LEASE_SECONDS,
         )
-        request = LedgerBegin(
-            attempt=ticket.attempt,
-            lease_ms=int(LEASE_SECONDS * MILLISECONDS),
-            run_ms=int(remaining * MILLISECONDS),
-            digest=request_digest(message),
-            tenant=message.tenant,
-            service=message.service,
-            key=message.key,
-        )
-        asked = self._client.begin(group, request, min(BEGIN_SECONDS, remaining))
+        request = _begin_request(ticket, remaining)
+        asked = self._client.begin(ticket.group, request, min(BEGIN_SECONDS, remaining))
         if isinstance(asked, Err):
             return Err(self._unavailable(ticket, asked.err_value.not_run))
         return _decided(ticket, asked.ok_value)
@@ -169,6 +160,28 @@
             self.storing -= 1
 
 
+def ledger_group(key: str, ledgers: Sequence[str]) -> str:
+    """Return the ledger group that keeps a key, or nothing when the service has none.
+
+    >>> ledger_group("k-1", ["only"]), ledger_group("k-1", [])
+    ('only', '')
+    """
+    return ledgers[zlib.crc32(key.encode()) % len(ledgers)] if ledgers else ""
+
+
+def _begin_request(ticket: OnceTicket, remaining: float) -> LedgerBegin:
+    message = ticket.message
+    return LedgerBegin(
+        attempt=ticket.attempt,
+        lease_ms=int(LEASE_SECONDS * MILLISECONDS),
+        run_ms=int(remaining * MILLISECONDS),
+        digest=request_digest(message),
+        tenant=message.tenant,
+        service=message.service,
+        key=message.key,
+    )
+
+
 def request_digest(message: CallOpen) -> bytes:
     """Return the digest that distinguishes requests under the same key."""
     digest = hashlib.sha256(f"{message.method} {message.path}\n".encode())
