--- a/src/cranklane/node/callers.py
+++ b/src/cranklane/node/callers.py
@@ -2,7 +2,8 @@
 
 Owns the calls in flight. Relies on :mod:`~cranklane.node.caller_request` and
 :mod:`~cranklane.node.caller_answer` for HTTP, and on :mod:`~cranklane.node.outbound` for
-the calls themselves.
+the calls themselves. The sidecar watches for disconnected callers by another class, which
+looks five times less often and only while somebody waits.
 """
 
 from __future__ import annotations
--- a/src/cranklane/sidecar/telemetry/decision_log.py
+++ b/src/cranklane/sidecar/telemetry/decision_log.py
@@ -12,7 +12,7 @@
 
 import gevent
 
-from cranklane.common.logs import RateLimit
+from cranklane.common.rate_limit import RateLimit
 from cranklane.outcome import Outcome, Reason
 from cranklane.sidecar.ingress.authentication import IngressRefusal
 from cranklane.sidecar.request.attempt import Reply
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -10,7 +10,9 @@
 from typer.testing import CliRunner
 
 from cranklane.cli.main import application
-from cranklane.common.logs import LineQueue, RateLimit, write_lines_to
+from cranklane.common.line_queue import LineQueue
+from cranklane.common.logs import write_lines_to
+from cranklane.common.rate_limit import RateLimit
 from cranklane_lab.simulate import quiet
 from mesh_support import each_worker, play
 
