--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -40,7 +40,7 @@
     """Who sends a request.
 
     :ivar tenant: name of the tenant; empty where the route needs no key.
-    :ivar priority: of the request, 0 first; the tenant's, if it has one, or the route's.
+    :ivar priority: rank of the request by its tenant, then by its route; 0 first.
     :ivar limited: whether it counts against the tenant's rate.
     """
 
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -157,35 +157,35 @@
             self._names, self.lease, self.quota, self.decisions.refused_at_ingress
         )
         parts = IngressParts(
-            lambda: self.adopted.table,
-            authentication,
-            self.dispatcher,
-            disconnects,
-            call_tree,
-            self.decisions.decided,
+            table=lambda: self.adopted.table,
+            authentication=authentication,
+            dispatcher=self.dispatcher,
+            disconnects=disconnects,
+            call_tree=call_tree,
+            on_decision=self.decisions.decided,
         )
         self.ingress = Ingress(self._runtime, self._names, self.settings.service, parts)
 
     def _build_control_link(self) -> None:
         state = ControlledState(
-            self.adopted,
-            self.lease,
-            self.quota,
-            self.destinations,
-            self.directory,
-            self.quarantine,
+            table=self.adopted,
+            lease=self.lease,
+            quota=self.quota,
+            destinations=self.destinations,
+            directory=self.directory,
+            quarantine=self.quarantine,
         )
         self.control = ControlLink(
             self._runtime, self.settings, self.own, self.condition, state, self._log
         )
         sources = GaugeSources(
-            self.adopted,
-            self.lease,
-            self.slots,
-            self.condition,
-            self.quarantine.table,
-            self.is_ready,
-            lambda: self.control.connected,
+            table=self.adopted,
+            lease=self.lease,
+            slots=self.slots,
+            condition=self.condition,
+            quarantine=self.quarantine.table,
+            is_ready=self.is_ready,
+            is_connected=lambda: self.control.connected,
         )
         add_gauges(self.metrics, sources)
 
--- /dev/null
+++ b/tests/test_authentication.py
@@ -0,0 +1,100 @@
+"""Whose request one is, and whether its tenant may send it: the table of ``authentication``."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+from random import Random
+
+import pytest
+from result import Err
+
+from cranklane.common.header_names import HeaderNames
+from cranklane.common.http1.message import Framing, RequestHead
+from cranklane.common.secret_digest import secret_digest
+from cranklane.outcome import Reason
+from cranklane.routes.table import Route, RouteTable, Share
+from cranklane.routes.tenants import Tenant, TenantDirectory
+from cranklane.sidecar.admission.tenant_quota import TenantQuota
+from cranklane.sidecar.ingress.authentication import Authentication, Caller
+from cranklane.sidecar.request.call_tree import Root, Run
+from cranklane.sidecar.table.table_lease import TableLease
+
+REVOCATION_SECONDS = 5.0
+ROUTE = Route("r", "a.example", "/", True, 1000, 100, 1, 1, (Share("s", 1),))
+SHOP = Tenant("shop", 0, key_digests=frozenset({secret_digest(b"shop-key")}))
+BATCH = Tenant("batch", 1, 1.0, 1.0, frozenset({secret_digest(b"batch-key")}))
+TABLE = RouteTable(1, (ROUTE,), tenants=TenantDirectory([SHOP, BATCH]))
+RUN = Run(Root(0, 0.0, 1.0, 5.0), tenant="shop")
+
+
+class Ingress:
+    """The parts around an authentication, on a clock that stands still."""
+
+    def __init__(self, confirmed=True):
+        self.refusals = []
+        self.quota = TenantQuota(lambda: 100.0, Random(1), lambda: 1)
+        lease = TableLease(lambda: 100.0, REVOCATION_SECONDS)
+        if confirmed:
+            lease.confirmed(newest_at=99.0, revision=1, in_force=1)
+        self.authentication = Authentication(HeaderNames(), lease, self.quota, self.refusals.append)
+
+    def identify(self, key=None, request="id", table=TABLE, route=ROUTE, run=None):
+        headers = [(b"Cranklane-Api-Key", key)] if key is not None else []
+        head = RequestHead(b"GET", b"/", headers, Framing.NONE, 0, True)
+        return self.authentication.identify(head, request, table, route, run)
+
+
+@pytest.mark.parametrize(
+    ("asked", "caller"),
+    [
+        ({"table": replace(TABLE, tenants=None)}, Caller("", 1)),
+        ({"route": replace(ROUTE, public=True)}, Caller("", 3)),
+        ({"route": replace(ROUTE, public=True), "key": b"unknown"}, Caller("", 3)),
+        ({"run": RUN, "request": "id.1"}, Caller("shop", 3)),
+        ({"key": b"shop-key"}, Caller("shop", 1)),
+        ({"key": b"batch-key"}, Caller("batch", 3, limited=True)),
+    ],
+)
+def test_who_may_send_a_request(asked, caller):
+    ingress = Ingress()
+    assert ingress.identify(**asked).ok_value == caller
+    assert ingress.refusals == []
+
+
+@pytest.mark.parametrize(
+    ("confirmed", "asked", "reason", "retry_after_ms"),
+    [
+        (True, {"request": "id"}, Reason.UNAUTHENTICATED, 0),
+        (True, {"request": "id.1"}, Reason.CALL_UNTIED, 500),
+        (True, {"key": b"unknown"}, Reason.UNAUTHENTICATED, 0),
+        (False, {"key": b"shop-key"}, Reason.TABLE_STALE, 500),
+        (False, {"key": b"unknown"}, Reason.TABLE_STALE, 500),
+    ],
+)
+def test_who_may_not(confirmed, asked, reason, retry_after_ms):
+    ingress = Ingress(confirmed)
+    refused = ingress.identify(**asked)
+    assert isinstance(refused, Err)
+    assert refused.err_value.reason is reason
+    assert refused.err_value.retry_after_ms == retry_after_ms
+    assert [refusal.reason for refusal in ingress.refusals] == [reason]
+
+
+@pytest.mark.parametrize("asked", [{"table": replace(TABLE, tenants=None)}, {"run": RUN}])
+def test_a_request_without_a_key_needs_no_certain_table(asked):
+    assert isinstance(Ingress(confirmed=False).identify(**asked).ok_value, Caller)
+
+
+def test_a_tenant_over_its_rate_is_refused_and_what_has_not_run_does_not_count():
+    ingress = Ingress()
+    results = [ingress.identify(key=b"batch-key") for _ in range(20)]
+    refused = [result.err_value for result in results if isinstance(result, Err)]
+    assert refused
+    assert {reply.reason for reply in refused} == {Reason.QUOTA_EXCEEDED}
+    assert {refusal.tenant for refusal in ingress.refusals} == {"batch"}
+    admitted = next(result.ok_value for result in results if not isinstance(result, Err))
+    ingress.authentication.not_run(admitted)
+    ingress.authentication.not_run(Caller("shop", 1))
+    (usage,) = ingress.quota.take_usage()
+    assert (usage.tenant, usage.offered, usage.admitted) == ("batch", 20, 20 - len(refused))
+    assert usage.returned == 1
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -104,7 +104,7 @@
         lambda self, service: True,
         test_mesh_overload.test_requests_sent_to_a_second_worker_stay_within_the_budget,
     ),
-    "hang-up watch": (
+    "disconnect watch": (
         DisconnectWatch,
         "add",
         lambda self, connection, action: None,
@@ -217,7 +217,7 @@
         lambda destination, now: 1.0,
         lambda: test_mesh_workers.test_a_worker_much_worse_than_others_gets_little("slow", 15),
     ),
-    "share of faults": (
+    "fault ratio": (
         FaultRatio,
         "sample",
         lambda self, now, failed: None,
