--- a/src/cranklane/cli/common.py
+++ b/src/cranklane/cli/common.py
@@ -1,4 +1,4 @@
-"""Parts shared by the operators' commands."""
+"""Options and calls shared by the operators' commands; ends a command that fails."""
 
 from __future__ import annotations
 
--- a/src/cranklane/cli/log_analysis.py
+++ b/src/cranklane/cli/log_analysis.py
@@ -1,4 +1,7 @@
-"""Commands that explain requests from the logs of processes."""
+"""Commands that explain requests from the logs of processes.
+
+Relies on :mod:`~cranklane.cli.story` and :mod:`~cranklane.cli.losses`.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/node/allowance.py
+++ b/src/cranklane/node/allowance.py
@@ -1,4 +1,8 @@
-"""Bounds the retries that one root request causes, over its whole call tree."""
+"""Bounds the retries that one root request causes, over its whole call tree.
+
+Owns the count of one call. The other bound, over all calls to a service, is
+:mod:`~cranklane.node.retry_budget`.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/node/answer_stream.py
+++ b/src/cranklane/node/answer_stream.py
@@ -1,4 +1,8 @@
-"""Sends the answers of inbound calls as records: a head, pieces of the body, an end."""
+"""Sends the answers of inbound calls as records: a head, pieces of the body, an end.
+
+The end states length and checksum, so that :mod:`~cranklane.node.peer_call` never takes an
+answer that was cut for a whole one.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/node/attempt.py
+++ b/src/cranklane/node/attempt.py
@@ -17,7 +17,7 @@
 from cranklane.node.answer import Answer, Request, refused
 from cranklane.node.balancer import Balancer
 from cranklane.node.context import CallContext
-from cranklane.node.members import MemberTable, MemberView
+from cranklane.node.members import MemberTable, MemberView, RefusalReport
 from cranklane.node.metrics import NodeMetrics
 from cranklane.node.peer_call import WINDOW_BYTES, CallCancelledError, PeerCall
 from cranklane.node.peers import PeerPool
@@ -165,7 +165,7 @@
         member = open_attempt.member
         now = self._runtime.monotonic()
         member.reported_load(head)
-        member.refusals[open_attempt.context.tenant] = (head.refused_below, now)
+        member.refusals[open_attempt.context.tenant] = RefusalReport(head.refused_below, now)
         reason = Reason(head.reason)
         if reason in _MEMBER_FAULTS:
             self._count_failure(member)
--- a/src/cranklane/node/caller_answer.py
+++ b/src/cranklane/node/caller_answer.py
@@ -1,4 +1,7 @@
-"""Writes answers to callers over HTTP."""
+"""Writes answers to callers over HTTP.
+
+Owns the body of an answer until the HTTP server has written it or given it up.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/node/callers_port.py
+++ b/src/cranklane/node/callers_port.py
@@ -1,4 +1,7 @@
-"""Opens the port on which a node takes its callers' calls."""
+"""Opens the port on which a node takes its callers' calls.
+
+Owns the rule on when to wait for a predecessor, and for how long.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/node/context.py
+++ b/src/cranklane/node/context.py
@@ -1,4 +1,8 @@
-"""What a call's child calls inherit, kept by the node while its worker runs the call."""
+"""What a call's child calls inherit, kept by the node while its worker runs the call.
+
+Owns the contexts of running calls and their tokens: a token is the only thing by which a
+worker's child call is known to belong to a call.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/node/early_refusal.py
+++ b/src/cranklane/node/early_refusal.py
@@ -10,13 +10,15 @@
 from collections.abc import Callable, Sequence
 from random import Random
 
-from cranklane.node.members import MemberView
+from cranklane.node.members import MemberView, RefusalReport
 from cranklane.outcome import Criticality
 
 REPORT_SECONDS = 0.2
 """Seconds for which a member's report is believed. A choice: the load of a member changes
 within a few service times."""
 
+_NO_REPORT = RefusalReport(0, 0.0)
+
 REFUSED_RATIO = 0.9
 """Ratio of such calls that is refused; the others find out whether the reports still hold.
 A choice: one call in ten renews the reports and wastes little."""
@@ -47,8 +49,8 @@
         oldest = self._clock() - REPORT_SECONDS
         refusing = 0
         for member in members:
-            below, reported_at = member.refusals.get(tenant, (0, 0.0))
-            refusing += below > criticality + 1 and reported_at > oldest
+            report = member.refusals.get(tenant, _NO_REPORT)
+            refusing += report.below > criticality + 1 and report.reported_at > oldest
         if refusing * 2 <= len(members):
             return False
         return self._random.random() < REFUSED_RATIO
--- a/src/cranklane/node/fair_queue.py
+++ b/src/cranklane/node/fair_queue.py
@@ -4,6 +4,8 @@
 tenant that has the fewest slots for its share. Within a tenant the higher
 criticality goes first, and within that the oldest call, or the newest once the
 queue is overloaded: an old call has little time left and would be wasted work.
+
+Owns the waiting calls; :mod:`~cranklane.node.admission` counts those that run.
 """
 
 from __future__ import annotations
--- a/src/cranklane/node/inbound_call.py
+++ b/src/cranklane/node/inbound_call.py
@@ -1,4 +1,7 @@
-"""One call that another node has opened here."""
+"""One call that another node has opened here.
+
+Owns the call's window: how many bytes of its answer the caller takes now.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/node/load.py
+++ b/src/cranklane/node/load.py
@@ -1,4 +1,8 @@
-"""What a node reports of its worker's load, and the heads of answers that carry it."""
+"""What a node reports of its worker's load, and the heads of answers that carry it.
+
+Owns nothing; the figures are those of :mod:`~cranklane.node.admission`. Callers choose
+members by them (:mod:`~cranklane.node.balancer`).
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/node/members.py
+++ b/src/cranklane/node/members.py
@@ -21,15 +21,31 @@
 """Weight of the newest latency in the smoothed one. A choice: about five answers count."""
 
 
+@dataclass(frozen=True, slots=True)
+class RefusalReport:
+    """What a member lately refused to a tenant.
+
+    :ivar below: calls of a lower criticality than this number; 0: none.
+    :ivar reported_at: monotonic second of the report.
+    """
+
+    below: int
+    reported_at: float
+
+
 @dataclass(slots=True, eq=False)
 class MemberView:
     """One destination node and what this node knows of its load.
 
+    :ivar first_seen: monotonic second at which this node learned of it.
+    :ivar limit: calls that its worker runs at once at most.
     :ivar reported: calls in flight or waiting there, by its newest report.
     :ivar opened_since: calls this node sent there after that report.
     :ivar in_flight: calls of this node there now.
     :ivar latency: smoothed seconds until an answer's head.
-    :ivar refusals: by tenant, (refused below this criticality, when).
+    :ivar failures: attempts there that failed in a row.
+    :ivar ejected_until: monotonic second at which its ejection ends.
+    :ivar refusals: its newest report by tenant.
     """
 
     node: str
@@ -46,7 +62,7 @@
     latency: float = 0.0
     failures: int = 0
     ejected_until: float = 0.0
-    refusals: dict[str, tuple[int, float]] = field(default_factory=dict)
+    refusals: dict[str, RefusalReport] = field(default_factory=dict)
 
     def load(self) -> float:
         """Return the estimated calls there for each of its slots."""
@@ -62,7 +78,7 @@
         self.in_flight -= 1
 
     def reported_load(self, report: LoadReport | AnswerHead, queued: int = 0) -> None:
-        """Take the node's own word on its load; it knows best."""
+        """Take the load that the node reports; what was sent since then is counted anew."""
         self.reported = report.in_flight + queued
         self.limit = max(1, report.limit)
         self.opened_since = 0
@@ -70,13 +86,19 @@
             self.state = MemberState.DRAINING
 
     def answered(self, seconds: float) -> None:
-        """Count a whole or refused answer: the node works."""
+        """Count an answer or a refusal: the node works.
+
+        :param seconds: until it came.
+        """
         self.failures = 0
         weight = LATENCY_WEIGHT if self.latency else 1.0
         self.latency += weight * (seconds - self.latency)
 
     def failed(self, now: float) -> bool:
-        """Count a failure; return True when it ejects the member."""
+        """Count a failure; return True when it ejects the member.
+
+        :param now: monotonic seconds.
+        """
         self.failures += 1
         seconds = ejection_seconds(self.failures)
         if not seconds:
--- a/src/cranklane/node/own_service.py
+++ b/src/cranklane/node/own_service.py
@@ -1,4 +1,7 @@
-"""The service of a node's worker, as the configuration in force describes it."""
+"""The service of a node's worker, as the configuration in force describes it.
+
+Owns nothing; each answer is read from the configuration of that moment.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/node/refusal_memory.py
+++ b/src/cranklane/node/refusal_memory.py
@@ -1,4 +1,8 @@
-"""Remembers which criticality was refused lately, for callers to refuse it early."""
+"""Remembers which criticality was refused lately.
+
+Callers get it with each answer and refuse such calls themselves
+(:mod:`~cranklane.node.early_refusal`).
+"""
 
 from __future__ import annotations
 
--- a/tests/test_early_refusal.py
+++ b/tests/test_early_refusal.py
@@ -7,7 +7,7 @@
 import pytest
 
 from cranklane.node.early_refusal import REPORT_SECONDS, EarlyRefusal
-from cranklane.node.members import MemberTable
+from cranklane.node.members import MemberTable, RefusalReport
 from cranklane.outcome import Criticality
 from cranklane.records.messages import Member, MemberDelta
 
@@ -42,7 +42,7 @@
 
 def refuse(members, clock, count, highest):
     for member in members.of("t", "s")[:count]:
-        member.refusals["t"] = (highest + 1, clock.now)
+        member.refusals["t"] = RefusalReport(highest + 1, clock.now)
 
 
 def test_the_refused_level_itself_still_goes_out(clock, members):
@@ -65,5 +65,5 @@
 
 def test_another_tenant_is_not_touched(clock, members):
     for member in members.of("t", "s"):
-        member.refusals["other"] = (Criticality.CRITICAL + 1, clock.now)
+        member.refusals["other"] = RefusalReport(Criticality.CRITICAL + 1, clock.now)
     assert refused_part(clock, members, Criticality.BACKGROUND) == 0
