--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -151,7 +151,7 @@
     assert refused_early_after(deep_slots=4) == 0
 
 
-def test_failed_runs_whose_calls_found_refused_at_capacity_lower_the_admitted_part():
+def test_failed_runs_whose_calls_found_no_capacity_lower_the_admitted_fraction():
     assert refused_early_after(deep_slots=0) > 10
 
 
