--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -145,7 +145,7 @@
         self._state.directory.apply(delta)
         if delta.whole:
             # This process has just started, or it lost control and may have missed updates.
-            self._runtime.spawn(self._state.quarantine.catch_up)
+            self._runtime.spawn(self._state.quarantine.anti_entropy.catch_up)
         shown = delta.members[:MAX_MEMBERS_IN_LINE]
         self._log.info(
             "members",
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -210,7 +210,7 @@
         self._runtime.spawn(self.worker.watch)
         self._runtime.spawn(self.decisions.summarise)
         self._runtime.spawn(self.control.report_usage)
-        self._runtime.spawn(self.quarantine.compare_on)
+        self._runtime.spawn(self.quarantine.anti_entropy.run)
         self._log.info("started", service=settings.service, seeds=settings.seeds)
 
     def _listen(self, address: str, handler: object) -> None:
@@ -256,7 +256,7 @@
     def _worker_changed(self) -> None:
         if self.worker.instance != self._caught_up_for:
             self._caught_up_for = self.worker.instance
-            self._runtime.spawn(self.quarantine.catch_up)
+            self._runtime.spawn(self.quarantine.anti_entropy.catch_up)
         self.destinations.set_own(self.own.next_member())
         self.control.announce()
 
--- a/src/cranklane/sidecar/quarantine/gossip.py
+++ b/src/cranklane/sidecar/quarantine/gossip.py
@@ -1,12 +1,12 @@
-"""Tells other sidecars which requests are suspected of ending workers, and learns it of them.
-
-News goes straight from sidecar to sidecar, so that it needs no controller. The one that has
-it sends it to at most ``FAN_OUT`` others, each of which passes it on to its part of the rest:
-of 2,400 sidecars all have it after three steps, and none sends it more than ``FAN_OUT`` times.
-Suspicions concern the sidecars of one service, whose gates run suspects alone; holds concern
-all. What a cut or a restart has kept from a sidecar it learns from any other: when it starts,
-when its worker comes back, when control is found again, and, while anything is held, from a
-comparison with one other now and then.
+"""Spreads what a sidecar knows of suspected and quarantined requests to the others.
+
+Updates go straight from sidecar to sidecar, so that they need no controller. The one at which
+something happens sends it to at most ``FAN_OUT`` others, each of which passes it on to its share of
+the rest: of 2,400 sidecars all have it after three steps, and none sends it more than ``FAN_OUT``
+times. Suspicions concern the sidecars of one service, whose gates isolate its requests; crashes
+that are evidence, and quarantines, concern all. ``anti_entropy`` repairs what was missed.
+
+Owns the table and the updates that wait to be sent.
 """
 
 from __future__ import annotations
@@ -16,47 +16,32 @@
 
 import gevent
 
+from cranklane.common.units import MILLISECONDS
 from cranklane.records.messages import QuarantineEntry, QuarantineNews
-from cranklane.runtime.interface import Address, Runtime
+from cranklane.runtime.interface import Runtime
+from cranklane.sidecar.quarantine.anti_entropy import AntiEntropy, Exchange
 from cranklane.sidecar.quarantine.sidecar_directory import OtherSidecar, SidecarDirectory
 from cranklane.sidecar.quarantine.table import Quarantine
 
 FAN_OUT = 16
-"""Sidecars to which one sends a piece of news."""
+"""Sidecars to which one sends an update. A choice: three steps reach 16 * 16 * 16 = 4,096."""
 
 GATHER_SECONDS = 0.005
-"""Time over which news is gathered: the ends of many runs at once make one record."""
-
-COMPARE_SECONDS = 2.0
-"""Between two comparisons with another sidecar while anything is held: one that was cut off
-learns of a hold about this long after it is back."""
-
-LEARN_TRIES = 3
-"""Sidecars that are asked in one round, until one answers."""
-
-ANSWER_SECONDS = 0.1
-"""A sidecar that has not answered within this time may be paused or cut off: another is asked."""
-
-CATCH_UP_PAUSE_SECONDS = 0.1
-"""Pause before the second round; each is longer by as much."""
+"""Time over which updates are gathered: the ends of many runs at once make one record. A choice:
+short against the time in which a sender retries."""
 
-CATCH_UP_ROUNDS = 8
-"""Rounds of asking others that do not know either, 4 s in all: sidecars that were killed together
-start within that time, and by then one of them has met one that knows."""
-
-ENTRIES_IN_A_LINE = 20
-"""Requests named in one log line; their number is always told."""
-
-Exchange = Callable[[Address, QuarantineNews], QuarantineNews | None]
-"""Sends news to a sidecar and returns its answer, None when it gives none."""
+MAX_ENTRIES_IN_LINE = 20
+"""Requests named in one log line; their number is always logged. A choice."""
 
 
 class QuarantineGossip:
-    """Sends and takes news of suspected and held requests.
+    """Sends this sidecar's updates, and takes and passes on those of others.
 
+    :param own: name of this machine's node.
     :param service: returns the service of this machine's worker.
     :param exchange: sends a record to another sidecar.
     :ivar table: what this sidecar knows.
+    :ivar anti_entropy: compares it with that of others.
     """
 
     def __init__(
@@ -75,13 +60,13 @@
         self._exchange = exchange
         self._log = log
         self._waiting: list[QuarantineEntry] = []
-        self._catching_up = False
-        self._settled = False
-        self.table = Quarantine(runtime.monotonic, self._tell)
+        self.table = Quarantine(runtime.monotonic, self._gather)
+        self.anti_entropy = AntiEntropy(runtime, directory, self.table, exchange, self._merge)
 
-    # News of this sidecar.
+    # This sidecar's updates.
 
-    def _tell(self, entries: list[QuarantineEntry]) -> None:
+    def _gather(self, entries: list[QuarantineEntry]) -> None:
+        """Take what happened here; send it, with what else happens, a moment later."""
         self._log_entries(entries, "own")
         if not self._waiting:
             self._runtime.spawn(self._send_gathered)
@@ -90,8 +75,8 @@
     def _send_gathered(self) -> None:
         gevent.sleep(GATHER_SECONDS)
         entries, self._waiting = self._waiting, []
-        for_all = [entry for entry in entries if entry.held_ms or entry.ends]
-        for_service = [entry for entry in entries if not (entry.held_ms or entry.ends)]
+        for_all = [entry for entry in entries if _concerns_all(entry)]
+        for_service = [entry for entry in entries if not _concerns_all(entry)]
         if for_all:
             self._send("", for_all, self._directory.of())
         if for_service:
@@ -101,102 +86,46 @@
     def _send(
         self, service: str, entries: list[QuarantineEntry], others: list[OtherSidecar]
     ) -> None:
-        """Send entries to others, each part of them by way of its first."""
+        """Send entries to others: divided among ``FAN_OUT`` shares, each sent to its first."""
         size = max(1, -(-len(others) // FAN_OUT))
         for start in range(0, len(others), size):
-            part = others[start : start + size]
-            self._runtime.spawn(self._send_part, service, entries, part)
+            share = others[start : start + size]
+            self._runtime.spawn(self._send_to_share, service, entries, share)
 
-    def _send_part(
-        self, service: str, entries: list[QuarantineEntry], part: list[OtherSidecar]
+    def _send_to_share(
+        self, service: str, entries: list[QuarantineEntry], share: list[OtherSidecar]
     ) -> None:
-        relay_to = part[-1].node
-        for other in part:
-            news = QuarantineNews(
+        """Send entries to the first of a share that answers; it passes them on to the rest."""
+        relay_to = share[-1].node
+        for other in share:
+            update = QuarantineNews(
                 digest=self.table.digest(), service=service, relay_to=relay_to, entries=entries
             )
-            if self._exchange(other.address, news) is not None:
+            if self._exchange(other.address, update) is not None:
                 return
 
-    # News of other sidecars.
+    # Updates of other sidecars.
 
-    def received(self, news: QuarantineNews) -> QuarantineNews:
-        """Take another sidecar's news, pass it on, and return the answer."""
-        self._take(news.entries)
-        if news.relay_to > self._own:
+    def received(self, update: QuarantineNews) -> QuarantineNews:
+        """Take another sidecar's update, pass it on, and return the answer."""
+        self._merge(update.entries)
+        if update.relay_to > self._own:
             others = [
                 other
-                for other in self._directory.of(news.service)
-                if self._own < other.node <= news.relay_to
+                for other in self._directory.of(update.service)
+                if self._own < other.node <= update.relay_to
             ]
-            self._send(news.service, news.entries, others)
+            self._send(update.service, update.entries, others)
         digest = self.table.digest()
-        told = self.table.entries() if news.asks and news.digest != digest else []
-        told = told + self.table.corrections(news.entries)
-        return QuarantineNews(digest=digest, settled=self._settled, entries=told)
-
-    def _take(self, entries: list[QuarantineEntry]) -> None:
-        fresh = self.table.merge(entries)
-        if fresh:
-            self._log_entries(fresh, "peer")
-
-    # Catching up.
-
-    def compare_on(self) -> None:
-        """Compare with another sidecar now and then while something is held, for ever."""
-        while True:
-            self.table.filled.wait()
-            gevent.sleep(COMPARE_SECONDS)
-            self.table.forget_old()
-            if self.table.quarantined():
-                self._learn()
-
-    def catch_up(self) -> None:
-        """Learn what is held until a sidecar has answered that knows it.
-
-        One that has just started itself may know nothing. Where all have, nobody does.
-        """
-        if self._catching_up:
-            return
-        self._catching_up = True
-        rounds = 0
-        while rounds < CATCH_UP_ROUNDS:
-            if self._directory.of():
-                rounds += 1
-                if self._learn():
-                    break
-            gevent.sleep(CATCH_UP_PAUSE_SECONDS * (1 + rounds))
-        self._settled = True
-        self._catching_up = False
-
-    def _learn(self) -> bool:
-        """Ask others what is held; return whether one answered that has learnt it itself.
-
-        The next one is asked when the one before it keeps silent for a moment.
-        """
-        others = self._directory.of()
-        self._runtime.random.shuffle(others)
-        others.sort(key=lambda other: other.away_since is not None)
-        tasks = []
-        for other in others[:LEARN_TRIES]:
-            tasks.append(self._runtime.spawn(self._compare, other))
-            if any(task.value for task in gevent.wait(tasks, ANSWER_SECONDS, count=len(tasks))):
-                return True
-        return any(task.value for task in gevent.wait(tasks))
-
-    def _compare(self, other: OtherSidecar) -> bool:
-        """Exchange what is held with another; return whether it has learnt it itself."""
-        news = QuarantineNews(digest=self.table.digest(), asks=True)
-        answer = self._exchange(other.address, news)
-        if answer is None:
-            return False
-        self._take(answer.entries)
-        if self.table.digest() != answer.digest:
-            entries = self.table.entries() + self.table.corrections(answer.entries)
-            news = QuarantineNews(digest=self.table.digest(), entries=entries)
-            corrected = self._exchange(other.address, news)
-            self._take(corrected.entries if corrected is not None else [])
-        return answer.settled
+        entries = self.table.entries() if update.asks and update.digest != digest else []
+        entries = entries + self.table.corrections(update.entries)
+        return QuarantineNews(digest=digest, settled=self.anti_entropy.settled, entries=entries)
+
+    def _merge(self, entries: list[QuarantineEntry]) -> None:
+        """Take what another sidecar knows."""
+        unknown = self.table.merge(entries)
+        if unknown:
+            self._log_entries(unknown, "peer")
 
     def _log_entries(self, entries: list[QuarantineEntry], source: str) -> None:
         for event, chosen in (
@@ -210,7 +139,12 @@
                     source=source,
                     count=len(chosen),
                     requests=[
-                        [entry.identity.hex(), entry.service, entry.held_ms / 1000]
-                        for entry in chosen[:ENTRIES_IN_A_LINE]
+                        [entry.identity.hex(), entry.service, entry.held_ms / MILLISECONDS]
+                        for entry in chosen[:MAX_ENTRIES_IN_LINE]
                     ],
                 )
+
+
+def _concerns_all(entry: QuarantineEntry) -> bool:
+    """Return whether sidecars of all services need an entry, not only those of its own."""
+    return bool(entry.held_ms or entry.ends)
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -9,6 +9,7 @@
 from cranklane.sidecar.admission import crash_evidence, isolated_runs
 from cranklane.sidecar.admission.isolated_runs import SuspectAdmission
 from cranklane.sidecar.quarantine import rules
+from cranklane.sidecar.quarantine.anti_entropy import AntiEntropy
 from cranklane.sidecar.quarantine.gossip import QuarantineGossip
 from cranklane.sidecar.quarantine.sidecar_directory import KEPT_SECONDS, SidecarDirectory
 from cranklane.sidecar.quarantine.table import Quarantine
@@ -29,7 +30,7 @@
 
 def test_without_news_of_others_it_ends_more(monkeypatch):
     monkeypatch.setattr(QuarantineGossip, "_send", lambda *_: None)
-    monkeypatch.setattr(QuarantineGossip, "_learn", lambda _self: True)
+    monkeypatch.setattr(AntiEntropy, "_learn", lambda _self: True)
     assert play(ends_of_one, **FLEET) > 3
 
 
