--- a/src/cranklane/cli/quarantine.py
+++ b/src/cranklane/cli/quarantine.py
@@ -1,4 +1,7 @@
-"""Commands on requests that are held since workers ended that ran them."""
+"""Commands on quarantined requests: those that crash the workers that run them.
+
+Operators' words stay as they are: a request in quarantine is held, and a crash is an end.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 @quarantine_commands.command("list")
-def list_held(sidecar: Sidecar) -> None:
+def list_quarantined(sidecar: Sidecar) -> None:
     """List the held requests."""
     for item in call(sidecar, "", "GET", QUARANTINE_PATH)["held"]:
         left = item["seconds_left"]
@@ -35,8 +38,8 @@
     typer.echo(f"{identity} is lifted")
 
 
-@quarantine_commands.command()
-def hold(identity: str, service: str, seconds: float, sidecar: Sidecar, token: Token) -> None:
+@quarantine_commands.command("hold")
+def quarantine(identity: str, service: str, seconds: float, sidecar: Sidecar, token: Token) -> None:
     """Refuse a request everywhere for some seconds; a log tells its identity."""
     media = {"identity": identity, "service": service, "seconds": seconds, "token": token}
     call(sidecar, "", "POST", f"{QUARANTINE_PATH}/hold", media)
--- a/src/cranklane/sidecar/quarantine/api.py
+++ b/src/cranklane/sidecar/quarantine/api.py
@@ -1,14 +1,16 @@
-"""The HTTP calls of operators on held requests, beside a sidecar's metrics.
+"""The HTTP calls of operators on quarantined requests, at the port of a sidecar's metrics.
 
-``GET /v1/quarantine`` lists them. ``POST /v1/quarantine/lift`` clears one, by its
-``identity``; ``POST /v1/quarantine/hold`` holds one, by ``identity``, ``service`` and ``seconds``.
-Both need the operator's ``token`` in their JSON body, and count at every sidecar.
+``GET /v1/quarantine`` lists them. ``POST /v1/quarantine/lift`` clears one, by its ``identity``;
+``POST /v1/quarantine/hold`` quarantines one, by ``identity``, ``service`` and ``seconds``. Both
+need the operator's ``token`` in their JSON body, and count at every sidecar. On the wire a
+quarantined request is ``held``, and crashes are ``ends``.
 """
 
 from __future__ import annotations
 
 import json
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
 
 from result import Err, Ok, Result
@@ -27,6 +29,7 @@
 class QuarantineApi:
     """Answers operators.
 
+    :param table: what this sidecar knows of quarantined requests.
     :param operator_digest: SHA-256 digest of the operator's token; empty: nobody may change.
     :param other: answers all other calls.
     """
@@ -47,15 +50,15 @@
         """Answer one call."""
         match method, path:
             case "GET", _ if path == QUARANTINE_PATH:
-                return _answer(200, {"held": self._held()})
+                return _answer(HTTPStatus.OK, {"held": self._listed()})
             case "POST", _ if path == _LIFT_PATH:
-                return self._changed(body, self._lift)
+                return self._change(body, self._lift)
             case "POST", _ if path == _HOLD_PATH:
-                return self._changed(body, self._hold)
+                return self._change(body, self._quarantine)
             case _:
                 return self._other(method, path, body)
 
-    def _held(self) -> list[dict[str, Any]]:
+    def _listed(self) -> list[dict[str, Any]]:
         return [
             {
                 "identity": entry.identity.hex(),
@@ -66,25 +69,34 @@
             for entry in self._table.quarantined()
         ]
 
-    def _changed(
+    def _change(
         self, body: bytes, change: Callable[[Identity, dict[str, Any]], Result[None, str]]
     ) -> SmallAnswer:
-        try:
-            value = json.loads(body)
-        except ValueError:
-            value = None
-        if not isinstance(value, dict):
-            return _problem(400, "the body is no JSON object")
-        expected = self._operator_digest()
-        if not expected or secret_digest(str(value.get("token", "")).encode()) != expected:
-            return _problem(403, "the token is not that of an operator of this sidecar")
+        """Check a call that changes something, make the change, and answer.
+
+        :param change: takes the identity and the body; returns a problem of the body, if any.
+        """
+        value = _json_object(body)
+        if value is None:
+            return _problem(HTTPStatus.BAD_REQUEST, "the body is no JSON object")
+        if not self._is_operator(value.get("token", "")):
+            return _problem(
+                HTTPStatus.FORBIDDEN, "the token is not that of an operator of this sidecar"
+            )
         identity = _identity(value.get("identity"))
         if identity is None:
-            return _problem(400, f"identity: {2 * IDENTITY_BYTES} hexadecimal digits are needed")
+            return _problem(
+                HTTPStatus.BAD_REQUEST,
+                f"identity: {2 * IDENTITY_BYTES} hexadecimal digits are needed",
+            )
         changed = change(identity, value)
         if isinstance(changed, Err):
-            return _problem(400, changed.err_value)
-        return _answer(200, {})
+            return _problem(HTTPStatus.BAD_REQUEST, changed.err_value)
+        return _answer(HTTPStatus.OK, {})
+
+    def _is_operator(self, token: Any) -> bool:
+        expected = self._operator_digest()
+        return bool(expected) and secret_digest(str(token).encode()) == expected
 
     def _lift(self, identity: Identity, _value: dict[str, Any]) -> Result[None, str]:
         if not self._table.lift(identity):
@@ -92,7 +104,7 @@
         self._log.warning("hold_lifted", identity=identity.hex())
         return Ok(None)
 
-    def _hold(self, identity: Identity, value: dict[str, Any]) -> Result[None, str]:
+    def _quarantine(self, identity: Identity, value: dict[str, Any]) -> Result[None, str]:
         service, seconds = value.get("service"), value.get("seconds")
         if not isinstance(service, str) or not service:
             return Err("service: a name is needed")
@@ -105,7 +117,17 @@
         return Ok(None)
 
 
+def _json_object(body: bytes) -> dict[str, Any] | None:
+    """Return the JSON object that a body holds, None for anything else."""
+    try:
+        value = json.loads(body)
+    except ValueError:
+        return None
+    return value if isinstance(value, dict) else None
+
+
 def _identity(value: Any) -> Identity | None:
+    """Return the identity that hexadecimal digits name, None for anything else."""
     if not isinstance(value, str):
         return None
     try:
--- a/src/cranklane/sidecar/quarantine/sidecar_directory.py
+++ b/src/cranklane/sidecar/quarantine/sidecar_directory.py
@@ -1,7 +1,8 @@
-"""Where the other sidecars are, those included whose workers are down.
+"""Where the other sidecars are, also those whose workers are down.
 
-Requests go only to sidecars whose workers run; news of requests concerns the others too, as
-callers stand beside them and their workers come back.
+Requests go only to sidecars whose workers run. Updates of the quarantine concern the others too:
+callers send requests through them, and their workers come back. Owns that list, by node; relies on
+control for who is a member.
 """
 
 from __future__ import annotations
@@ -14,14 +15,16 @@
 from cranklane.runtime.interface import Address, parse_address
 
 KEPT_SECONDS = 30.0
-"""A sidecar whose worker is down, or which control hears no more, is kept for this long."""
+"""A sidecar whose worker is down, or whose heartbeats control has lost, is kept for this long. A
+choice: a worker that crashed is back within some seconds, and a wrong address costs one try."""
 
 
 @dataclass(slots=True)
 class OtherSidecar:
     """One sidecar.
 
-    :ivar away_since: since when its worker is down or control does not hear it; None: it is there.
+    :ivar away_since: monotonic second since which its worker is down or control has lost its
+        heartbeats; None: it is there.
     """
 
     node: str
@@ -31,8 +34,9 @@
 
 
 class SidecarDirectory:
-    """The other sidecars, as control tells of them.
+    """The other sidecars, as control reports them.
 
+    :param clock: monotonic seconds.
     :param own: name of this machine's node.
     """
 
@@ -42,7 +46,7 @@
         self._by_node: dict[str, OtherSidecar] = {}
 
     def apply(self, delta: MemberDelta) -> None:
-        """Take what control says of members."""
+        """Take an update of members from control."""
         now = self._clock()
         if delta.whole:
             named = {member.node for member in delta.members}
