--- a/src/cranklane/common/http1/reader.py
+++ b/src/cranklane/common/http1/reader.py
@@ -55,7 +55,7 @@
         self._connection = connection
         self._max_head_bytes = max_head_bytes
         self._messages: deque[_Message] = deque()
-        self._parsing: _Message | None = None
+        self._parsing = _Message()
         self._error: str = ""
         self._head_bytes = 0
         self._ended = False
@@ -76,29 +76,29 @@
 
     def on_url(self, url: bytes) -> None:
         """Take a piece of the request target."""
-        self._parsing.url += url  # type: ignore[union-attr]
+        self._parsing.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header; those after the body are dropped."""
         message = self._parsing
-        if not message.head_done:  # type: ignore[union-attr]
-            message.headers.append((name, value))  # type: ignore[union-attr]
+        if not message.head_done:
+            message.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         """Take that the head is whole."""
         message = self._parsing
-        self._head_parsed(message)  # type: ignore[arg-type]
-        message.head_done = True  # type: ignore[union-attr]
+        self._head_parsed(message)
+        message.head_done = True
         self._head_bytes = 0
 
     def on_body(self, data: bytes) -> None:
         """Take a piece of the body."""
         if data:
-            self._parsing.pieces.append(data)  # type: ignore[union-attr]
+            self._parsing.pieces.append(data)
 
     def on_message_complete(self) -> None:
         """Take that the message is whole."""
-        self._parsing.done = True  # type: ignore[union-attr]
+        self._parsing.done = True
 
     # Reading.
 
@@ -122,7 +122,7 @@
             self._error = "an upgrade of the protocol is not spoken"
         except httptools.HttpParserError as error:
             self._error = str(error) or type(error).__name__
-        if self._parsing is None or not self._parsing.head_done:
+        if not self._parsing.head_done:
             self._head_bytes += len(data)
         return True
 
--- a/src/cranklane/errors.py
+++ b/src/cranklane/errors.py
@@ -24,9 +24,9 @@
 
 
 class SettingsError(CranklaneError):
-    """A process settings file or flag is wrong.
+    """A settings file or flag of a process is invalid.
 
-    :ivar problems: one line for each wrong key.
+    :ivar problems: one line for each invalid key.
     """
 
     def __init__(self, problems: list[str]) -> None:
@@ -46,8 +46,8 @@
 
 
 class DamagedLogError(CranklaneError):
-    """A log file is damaged before its end, so records would be lost by going on."""
+    """A log file is damaged before its end: records would be lost if it were used."""
 
 
 class InvariantError(CranklaneError):
-    """Something happened that must never happen; the process stops."""
+    """An invariant is broken; the process stops."""
