--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -10,11 +10,12 @@
 from cranklane.common.metrics_server import GaugeRegistry, MetricsServer
 from cranklane.common.small_http import SmallHttp
 from cranklane.controller.confirmation import Confirmation
-from cranklane.controller.fleet_quotas import FleetCount, FleetQuotas
+from cranklane.controller.fleet_quotas import FleetQuotas
 from cranklane.controller.route_api import RouteApi
 from cranklane.controller.route_editor import RouteEditor
 from cranklane.controller.route_store import RouteTableStore
 from cranklane.controller.sidecar_service import SidecarService
+from cranklane.controller.tenant_usage import FleetCount
 from cranklane.distribution.group_contact import NodeServiceTiming
 from cranklane.distribution.node_service import NodeService
 from cranklane.distribution.publisher import SILENT_SECONDS
@@ -43,13 +44,13 @@
 
 TIMING = NodeServiceTiming(stale=1.2, last_resort=3.0, touch=0.2, expiry=0.5)
 """Sidecars leave a controller that is cut off within these times, so that a table is in
-force at them soon although theirs has missed it. They need no pings: each heartbeat is
-answered."""
+force at them soon although theirs has missed it. A choice: well within the
+2 s in which a table is to be in force."""
 
-
-HEARD_SECONDS = 1.2
-"""A sidecar that was silent for longer admits its own share only: twice the time between
-its heartbeats, as there."""
+REPORTING_SECONDS = 1.2
+"""Time since its last record within which a sidecar counts as reporting its usage. A sidecar
+without an answer for longer admits its own share only; a choice: two heartbeats (0.5 s) and
+their answers."""
 
 
 @dataclass
@@ -96,8 +97,8 @@
         self.membership = self._nodes.membership
         self.publisher = self._nodes.publisher
         # An address belongs to one machine at a time, so it names a replica.
-        told = settings.advertise or settings.listen
-        identity = ReplicaIdentity(GROUP, told, told, settings.http)
+        address = settings.advertise or settings.listen
+        identity = ReplicaIdentity(GROUP, address, address, settings.http)
         self.replica = Replica(
             runtime,
             runtime.storage(settings.data),
@@ -178,9 +179,9 @@
         return gauges
 
     def _fleet(self) -> FleetCount:
-        """Return how many sidecars there are, and how many tell this process their usage."""
-        heard = self.publisher.active_since(self.runtime.monotonic() - HEARD_SECONDS)
-        return FleetCount(len(self.membership), heard)
+        """Return how many sidecars there are, and how many report their usage here."""
+        reporting = self.publisher.active_since(self.runtime.monotonic() - REPORTING_SECONDS)
+        return FleetCount(len(self.membership), reporting)
 
     def _seeds(self) -> list[str]:
         return peer_addresses(self.settings.seeds, self.settings.peer_port)
--- /dev/null
+++ b/tests/test_quota_bucket.py
@@ -0,0 +1,123 @@
+"""The rules of a tenant's bucket and of the fleet's usage, each as a table."""
+
+from __future__ import annotations
+
+import pytest
+
+from cranklane.controller.fleet_quotas import STEP_SECONDS
+from cranklane.controller.quota_bucket import (
+    FULL_PERMILLE,
+    LEVEL_SECONDS,
+    MIN_CHANGE_PERMILLE,
+    MIN_DEPTH_SECONDS,
+    MIN_PERMILLE,
+    RATE_MARGIN,
+    SLACK_RATIO,
+    QuotaBucket,
+    QuotaLimit,
+    limit_of,
+)
+from cranklane.controller.tenant_usage import OWNER_SECONDS, FleetCount, FleetUsage
+from cranklane.records.messages import TenantUsage, UsageTotals
+from cranklane.routes.tenants import Tenant
+
+
+@pytest.mark.parametrize(
+    ("burst", "slack", "ratio", "rate", "depth"),
+    [
+        (10.0, 0.0, 1.0, 100 * (1 + RATE_MARGIN), 100 * MIN_DEPTH_SECONDS),
+        (50.0, 0.0, 1.0, 100 * (1 + RATE_MARGIN), 50.0),
+        (50.0, 20.0, 1.0, 100 * (1 + RATE_MARGIN), 50.0 + SLACK_RATIO * 20),
+        (50.0, 0.0, 0.5, 50 * (1 + RATE_MARGIN), 25.0),
+        (50.0, 0.0, 0.0, 0.0, 0.0),
+    ],
+)
+def test_a_controller_gives_out_the_ratio_of_a_limit_that_it_sees_used(
+    burst, slack, ratio, rate, depth
+):
+    limit = limit_of(Tenant("a", 0, 100.0, burst), ratio, slack)
+    assert limit.rate == pytest.approx(rate)
+    assert limit.depth == pytest.approx(depth)
+
+
+LIMIT = QuotaLimit(rate=100.0, depth=50.0)
+
+
+def ratio_after(offered, admitted, returned=0):
+    """Return the ratio of a full bucket after 4 s with the same usage in each 0.1 s."""
+    bucket = QuotaBucket(level=LIMIT.depth)
+    permille = FULL_PERMILLE
+    for _ in range(40):
+        bucket.add(TenantUsage(offered, admitted, returned, "a"))
+        permille = bucket.step(LIMIT, 0.1)
+    return permille
+
+
+@pytest.mark.parametrize(
+    ("offered", "admitted", "returned", "permille"),
+    [
+        (5, 5, 0, FULL_PERMILLE),
+        # As much as the rate: the bucket stays full.
+        (10, 10, 0, FULL_PERMILLE),
+        # Twice the rate is offered, the rate admitted: 100 + (50 - 0.2 * 50) / 0.5 of 200.
+        (20, 10, 0, 900),
+        # The bucket was emptied by 40: 100 + (10 - 10) / 0.5 of 200.
+        (20, 11, 0, 500),
+        (40, 40, 0, MIN_PERMILLE),
+        # Admitted and not run: no demand on the rate.
+        (40, 40, 40, FULL_PERMILLE),
+    ],
+)
+def test_the_ratio_follows_from_what_is_offered_and_admitted(offered, admitted, returned, permille):
+    assert ratio_after(offered, admitted, returned) == pytest.approx(permille, abs=2)
+
+
+@pytest.mark.parametrize(
+    ("known", "new", "sent"),
+    [
+        (500, 500 + MIN_CHANGE_PERMILLE - 1, False),
+        (500, 500 + MIN_CHANGE_PERMILLE, True),
+        (500, 500 - MIN_CHANGE_PERMILLE, True),
+        (FULL_PERMILLE, FULL_PERMILLE - 1, True),
+        (FULL_PERMILLE - 1, FULL_PERMILLE, True),
+        (FULL_PERMILLE, FULL_PERMILLE, False),
+    ],
+)
+def test_a_small_change_is_not_sent_but_to_or_from_all(known, new, sent):
+    assert QuotaBucket(permille=known).is_worth_sending(new) is sent
+
+
+def test_the_delay_of_totals_is_below_half_of_the_time_of_a_level():
+    assert 2 * STEP_SECONDS < LEVEL_SECONDS / 2
+
+
+@pytest.mark.parametrize(
+    ("known", "reporting", "age", "ratio"),
+    [
+        (10, 4, 0.0, 0.9),
+        (10, 4, OWNER_SECONDS, 0.9),
+        (10, 4, OWNER_SECONDS + 0.1, 0.4),
+        (10, 9, 0.0, 1.0),
+        (0, 0, 0.0, 1.0),
+    ],
+)
+def test_sidecars_of_a_silent_controller_count_as_not_reporting(known, reporting, age, ratio):
+    now = [10.0]
+    usage = FleetUsage("own", lambda: now[0], lambda: FleetCount(known, reporting))
+    usage.take_totals(UsageTotals(1, 5, "other", []))
+    now[0] += age
+    assert usage.reporting_ratio(now[0]) == pytest.approx(ratio)
+
+
+def test_totals_of_a_restarted_controller_start_anew():
+    usage = FleetUsage("own", lambda: 0.0, lambda: FleetCount(2, 2))
+
+    def since(began_us, admitted):
+        totals = UsageTotals(began_us, 1, "other", [TenantUsage(admitted, admitted, 0, "a")])
+        return [item.admitted for item in usage.take_totals(totals)]
+
+    assert since(1, 100) == [0]
+    assert since(1, 130) == [30]
+    assert since(1, 130) == [0]
+    assert since(2, 7) == [0]
+    assert since(2, 9) == [2]
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -12,7 +12,8 @@
 from typer.testing import CliRunner
 
 from cranklane.cli.main import application
-from cranklane.controller.fleet_quotas import FleetCount, FleetQuotas
+from cranklane.controller.fleet_quotas import FleetQuotas
+from cranklane.controller.tenant_usage import FleetCount
 from cranklane.records.messages import TenantUsage
 from cranklane.routes.document import read_json, read_table
 from cranklane.routes.rows import rows_of, with_rows
