--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -30,7 +30,7 @@
 from cranklane.sidecar.request.call_tree import CallTree, Root, Run
 from cranklane.sidecar.worker.condition import WorkerCondition
 from cranklane.sidecar.worker.exchange import WorkerExchange
-from cranklane.sidecar.worker.exit import WorkerExit, WorkerExits
+from cranklane.sidecar.worker.exit import LEAVING, WorkerExit, WorkerExits
 from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
 from cranklane.sidecar.worker.slowness import ratio_to
 
@@ -47,6 +47,20 @@
         """Take one exit of the worker's process."""
 
 
+@dataclass(frozen=True, slots=True)
+class LocalWorker:
+    """The worker beside this sidecar, as its gate needs it.
+
+    :ivar registry: whether it is there, and where.
+    :ivar slots: how many requests it runs at once, and who waits.
+    :ivar condition: learns how its runs end and how long they take.
+    """
+
+    registry: WorkerRegistry
+    slots: Slots
+    condition: WorkerCondition
+
+
 @dataclass(slots=True)
 class AdmittedRun:
     """A request that was admitted, and all that it occupies until it is released.
@@ -70,38 +84,47 @@
     suspicion: SuspectAdmission
 
 
+def why_closed(serves: bool, state: WorkerState) -> Reason:
+    """Return why a worker gets no request now, or NONE.
+
+    :param serves: whether the worker is of the request's service.
+    """
+    if not serves:
+        return Reason.NO_MEMBERS
+    if state is WorkerState.READY:
+        return Reason.NONE
+    return Reason.DRAINING if state in LEAVING else Reason.WORKER_UNREACHABLE
+
+
 class Gate:
     """Admits requests to the worker and runs them.
 
     :param call_tree: correlates the worker's own calls with the runs that make them.
-    :param condition: learns how the runs end and how long they take.
     :param quarantine: what is known of requests that crash workers.
     """
 
     def __init__(
         self,
         runtime: Runtime,
-        worker: WorkerRegistry,
-        slots: Slots,
+        worker: LocalWorker,
         names: HeaderNames,
         call_tree: CallTree,
-        condition: WorkerCondition,
         quarantine: Quarantine,
         listener: GateListener,
     ) -> None:
         self._clock = runtime.monotonic
-        self._worker = worker
-        self._slots = slots
+        self._worker = registry = worker.registry
+        self._slots = worker.slots
+        self._condition = worker.condition
         self._call_tree = call_tree
-        self._condition = condition
         self._on_admission = listener.admission
         self._limiter = OutcomeLimiter(runtime.monotonic)
-        self._evidence = CrashEvidence(worker, quarantine, listener.worker_exited)
-        self._exits = WorkerExits(runtime, worker, self._evidence.worker_exited)
+        self._evidence = CrashEvidence(registry, quarantine, listener.worker_exited)
+        self._exits = WorkerExits(runtime, registry, self._evidence.worker_exited)
         self._isolated_runs = IsolatedRuns(runtime.monotonic, quarantine)
         self._exchange = (
-            WorkerExchange(runtime, worker.pool, names, worker.other_instance)
-            if worker.pool is not None
+            WorkerExchange(runtime, registry.pool, names, registry.other_instance)
+            if registry.pool is not None
             else None
         )
 
@@ -157,7 +180,8 @@
 
     def _take_slot(self, request: ForwardRequest, on_wait: Callable[[Waiter], None]) -> Reason:
         """Take a slot of the worker; return why there is none, or NONE."""
-        reason = self._why_closed(request.service)
+        serves = self._exchange is not None and self._worker.service == request.service
+        reason = why_closed(serves, self._worker.state)
         if reason is not Reason.NONE:
             return reason
         if not self._limiter.admits(request.route, request.priority, request.caller):
@@ -169,17 +193,6 @@
             request.root_age_ms / MILLISECONDS,
         )
 
-    def _why_closed(self, service: str) -> Reason:
-        """Return why no request for a service is admitted now, or NONE."""
-        worker = self._worker
-        if self._exchange is None or worker.service != service:
-            return Reason.NO_MEMBERS
-        if worker.state is WorkerState.READY:
-            return Reason.NONE
-        if worker.state in (WorkerState.DRAINING, WorkerState.GONE):
-            return Reason.DRAINING
-        return Reason.WORKER_UNREACHABLE
-
     def _expected_wait(self) -> float:
         """Return the seconds until a request of the highest priority would start."""
         return self._slots.expected_wait(self._slots.rank(0, 0.0))
@@ -263,7 +276,7 @@
         return reply
 
     def _learn(self, admitted: AdmittedRun, reply: Reply, run_seconds: float) -> None:
-        """Pass on what a run tells of the worker, and of capacity further down."""
+        """Pass on what a run shows of the worker, and of capacity further down."""
         request, run = admitted.request, admitted.run
         reply.downstream_starved = run_outcome.is_downstream_starved(run, reply)
         reply.downstream_cost = run.downstream_cost
--- a/src/cranklane/sidecar/admission/outcome_limiter.py
+++ b/src/cranklane/sidecar/admission/outcome_limiter.py
@@ -46,7 +46,7 @@
 # How the fraction falls.
 
 MIN_FRACTION = 0.05
-"""Least fraction that is admitted: some runs must show whether the fault is over. A choice."""
+"""Smallest fraction that is admitted: some runs must show whether the fault is over. A choice."""
 
 DECREASE = 0.6
 """Fraction by which the admitted fraction falls when every run of a round has failed; less in
--- a/src/cranklane/sidecar/admission/retry_after.py
+++ b/src/cranklane/sidecar/admission/retry_after.py
@@ -4,7 +4,7 @@
 puts the result into ``Reply.retry_after_ms``; the ingress writes it with :func:`header_line`.
 
 ==============================  ====================================================
-refused because                 the caller is told to wait
+refused because                 wait that is sent
 ==============================  ====================================================
 the worker's queue is long      until a request of the highest priority would start,
                                 :data:`MIN_QUEUE_MS` to :data:`MAX_QUEUE_MS`
@@ -27,7 +27,7 @@
 from cranklane.outcome import Reason
 
 DEFAULT_MS = 200
-"""Milliseconds where nothing tells how long the cause will last. A choice: a few times what a
+"""Milliseconds where it is not known how long the cause will last. A choice: a few times what a
 request takes, so that a client neither hammers the service nor idles."""
 
 MIN_QUEUE_MS = 50
--- a/src/cranklane/sidecar/admission/run_outcome.py
+++ b/src/cranklane/sidecar/admission/run_outcome.py
@@ -24,12 +24,12 @@
 
 
 def has_failed(reply: Reply) -> bool:
-    """Return whether there is no answer, or one that tells an error of the server."""
+    """Return whether there is no answer, or one that reports an error of the server."""
     return reply.outcome is not Outcome.ANSWERED or reply.status >= _SERVER_ERROR
 
 
 def measures_latency(reply: Reply) -> bool:
-    """Return whether a run's time tells how slow its worker is.
+    """Return whether a run's time shows how slow its worker is.
 
     Failed runs don't count, as they may end at once; those that took all their time do.
     """
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -15,7 +15,7 @@
 from cranklane.common.units import MILLISECONDS
 from cranklane.records.messages import Hello
 from cranklane.runtime.interface import Listener, Runtime, parse_address
-from cranklane.sidecar.admission.gate import Gate
+from cranklane.sidecar.admission.gate import Gate, LocalWorker
 from cranklane.sidecar.admission.slots import Slots
 from cranklane.sidecar.admission.tenant_quota import TenantQuota
 from cranklane.sidecar.control_link import ControlledState, ControlLink
@@ -117,11 +117,9 @@
         runtime = self._runtime
         self.gate = Gate(
             runtime,
-            self.worker,
-            self.slots,
+            LocalWorker(self.worker, self.slots, self.condition),
             self._names,
             call_tree,
-            self.condition,
             self.quarantine.table,
             self.decisions,
         )
--- a/src/cranklane/sidecar/quarantine/entry.py
+++ b/src/cranklane/sidecar/quarantine/entry.py
@@ -69,7 +69,7 @@
 
 
 def to_clearing(entry: QuarantinedRequest) -> QuarantineEntry:
-    """Return the record that tells other sidecars that a request was cleared."""
+    """Return the record that reports to other sidecars that a request was cleared."""
     return _record(entry, 1 if entry.was_quarantined else 0, cleared=True)
 
 
--- /dev/null
+++ b/tests/test_gate.py
@@ -0,0 +1,82 @@
+"""Which requests the gate of a worker refuses, and what a crash says to the caller."""
+
+import pytest
+
+from cranklane.outcome import Outcome, Reason
+from cranklane.records.messages import ForwardRequest
+from cranklane.sidecar.admission.crash_evidence import CrashEvidence
+from cranklane.sidecar.admission.gate import why_closed
+from cranklane.sidecar.quarantine.entry import crash_id
+from cranklane.sidecar.quarantine.rules import QuarantineState
+from cranklane.sidecar.quarantine.table import Quarantine
+from cranklane.sidecar.worker.exit import InterruptedRun, WorkerExit, identity_of_request
+from cranklane.sidecar.worker.registry import WorkerState
+
+
+@pytest.mark.parametrize(
+    ("serves", "state", "reason"),
+    [
+        (True, WorkerState.READY, Reason.NONE),
+        (True, WorkerState.DRAINING, Reason.DRAINING),
+        (True, WorkerState.GONE, Reason.DRAINING),
+        (True, WorkerState.UNKNOWN, Reason.WORKER_UNREACHABLE),
+        (True, WorkerState.UNREACHABLE, Reason.WORKER_UNREACHABLE),
+        (True, WorkerState.LOST, Reason.WORKER_UNREACHABLE),
+        *[(False, state, Reason.NO_MEMBERS) for state in WorkerState],
+    ],
+)
+def test_why_a_worker_gets_no_request(serves, state, reason):
+    assert why_closed(serves, state) is reason
+
+
+class Worker:
+    service = "s"
+
+    def __init__(self, state):
+        self.state = state
+
+
+REQUEST = ForwardRequest(service="s", lines=b"GET /a HTTP/1.1\r\n")
+IDENTITY = identity_of_request(REQUEST)
+
+
+def evidence(state):
+    table = Quarantine(lambda: 100.0, lambda _entries: None)
+    return table, CrashEvidence(Worker(state), table, lambda _exit: None)
+
+
+def interrupted(level):
+    return InterruptedRun("a", IDENTITY, 0.1, level)
+
+
+def test_a_planned_exit_is_no_evidence():
+    table, crashes = evidence(WorkerState.DRAINING)
+    crashes.worker_exited(WorkerExit("one", True, (interrupted(0),)))
+    assert table.is_empty
+    reply = crashes.reply_after_exit(REQUEST)
+    assert (reply.outcome, reply.reason) == (Outcome.UNKNOWN, Reason.WORKER_LEFT)
+
+
+def test_a_crash_makes_its_runs_suspected_and_an_answer_clears_them():
+    table, crashes = evidence(WorkerState.READY)
+    crashes.worker_exited(WorkerExit("one", False, (interrupted(0),)))
+    assert table.state(IDENTITY) is QuarantineState.SUSPECTED
+    reply = crashes.reply_after_exit(REQUEST)
+    assert (reply.reason, reply.retry_after_ms) == (Reason.WORKER_ENDED, 0)
+    crashes.answered(REQUEST)
+    assert table.is_empty
+
+
+def test_the_reply_after_a_crash_says_how_long_the_request_is_quarantined():
+    table, crashes = evidence(WorkerState.READY)
+    table.worker_crashed("s", crash_id("one"), {IDENTITY: 0})
+    crashes.worker_exited(WorkerExit("two", False, (interrupted(1),)))
+    assert table.state(IDENTITY) is QuarantineState.QUARANTINED
+    assert crashes.reply_after_exit(REQUEST).retry_after_ms == 5001
+
+
+def test_of_copies_of_a_request_the_least_suspected_counts():
+    table, crashes = evidence(WorkerState.READY)
+    table.worker_crashed("s", crash_id("one"), {IDENTITY: 0})
+    crashes.worker_exited(WorkerExit("two", False, (interrupted(0), interrupted(1))))
+    assert table.state(IDENTITY) is QuarantineState.SUSPECTED
