--- a/src/cranklane/routes/document.py
+++ b/src/cranklane/routes/document.py
@@ -200,7 +200,7 @@
         name=name,
         host=fields.text("host").lower(),
         prefix=prefix,
-        repeatable=repeat in IDEMPOTENT,
+        idempotent=repeat in IDEMPOTENT,
         timeout_ms=timeout,
         objective_ms=fields.number("objective_ms", 1, max_objective, timeout),
         priority=fields.number("priority", 0, MAX_PRIORITY, 0),
--- a/src/cranklane/routes/table.py
+++ b/src/cranklane/routes/table.py
@@ -23,7 +23,7 @@
     """One route.
 
     :ivar prefix: path prefix; begins and ends with a slash.
-    :ivar repeatable: whether a request may run more than once.
+    :ivar idempotent: whether a request may run more than once.
     :ivar timeout_ms: time after which a request gets its final answer.
     :ivar objective_ms: the latency objective of its requests.
     :ivar priority: 0 is the most important.
@@ -34,7 +34,7 @@
     name: str
     host: str
     prefix: str
-    repeatable: bool
+    idempotent: bool
     timeout_ms: int
     objective_ms: int
     priority: int
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -212,7 +212,7 @@
             root_objective_ms=_milliseconds(root.objective_at - now),
             root_deadline_ms=_milliseconds(root.deadline - now),
             is_retry=root.is_retry or progress.attempts > 0,
-            idempotent=route.repeatable,
+            idempotent=route.idempotent,
             bodiless=call.bodiless,
             framing=call.framing,
             whole=call.rest is None,
--- a/src/cranklane/sidecar/routing/retry_policy.py
+++ b/src/cranklane/sidecar/routing/retry_policy.py
@@ -96,7 +96,7 @@
             # The answer is too large to keep for the case that the next one is no better.
             return Verdict.ANSWER_STREAMS
     if reply.outcome is not Outcome.NOT_RUN:
-        if not call.route.repeatable:
+        if not call.route.idempotent:
             # It has run, or may have run, and must not run twice.
             return Verdict.NOT_IDEMPOTENT
         if call.rest is not None:
--- a/src/cranklane_lab/soak/checks.py
+++ b/src/cranklane_lab/soak/checks.py
@@ -23,12 +23,12 @@
     """What was seen, and which promises broke.
 
     :ivar broken: one line for each broken promise.
-    :ivar refused_unrepeatable: ids that were told that they had not run.
+    :ivar refused_not_idempotent: ids that were told that they had not run.
     """
 
     broken: list[str] = field(default_factory=list)
     statuses: Counter[str] = field(default_factory=Counter)
-    refused_unrepeatable: set[str] = field(default_factory=set)
+    refused_not_idempotent: set[str] = field(default_factory=set)
     unrepeatable: set[str] = field(default_factory=set)
     acknowledged: int = 0
     taken: dict[int, str] = field(default_factory=dict)
@@ -37,14 +37,14 @@
         """Take that a promise broke."""
         self.broken.append(text)
 
-    def answered(self, request: str, repeatable: bool, answer: RawAnswer | None) -> None:
+    def answered(self, request: str, idempotent: bool, answer: RawAnswer | None) -> None:
         """Take what a caller got."""
         status = answer.status if answer is not None else 0
         self.statuses[str(status)] += 1
-        if not repeatable:
+        if not idempotent:
             self.unrepeatable.add(request)
             if status in NOT_RUN_STATUS:
-                self.refused_unrepeatable.add(request)
+                self.refused_not_idempotent.add(request)
         if answer is None or status != 200 or not answer.whole:
             return
         if answer.body != f"ran {request}".encode():
@@ -76,6 +76,6 @@
         for request in sorted(self.unrepeatable):
             if runs[request] > 1:
                 self.break_promise(f"{request} may not be repeated and ran {runs[request]} times")
-        for request in sorted(self.refused_unrepeatable):
+        for request in sorted(self.refused_not_idempotent):
             if runs[request]:
                 self.break_promise(f"{request} was told that it had not run, and ran")
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -28,7 +28,7 @@
 ROOT = Root(0, 99.0, 101.0, DEADLINE)
 LINES = b"GET / HTTP/1.1\r\nhost: h\r\n"
 CALL = Call("id", ROUTE, "s", 99.0, DEADLINE, False, Framing.LENGTH, 0, LINES, b"", ROOT)
-ONCE_ONLY = CALL._replace(route=replace(ROUTE, repeatable=False))
+ONCE_ONLY = CALL._replace(route=replace(ROUTE, idempotent=False))
 STREAMED = CALL._replace(rest=lambda: b"")
 BELOW_A_RETRY = CALL._replace(root=replace(ROOT, is_retry=True))
 FULL = refusal(Reason.QUEUE_FULL)
