--- a/src/cranklane/sidecar/admission/outcome_limiter.py
+++ b/src/cranklane/sidecar/admission/outcome_limiter.py
@@ -21,6 +21,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from cranklane.sidecar.admission.even_fraction import EvenFraction
+
 # Which runs are too many failures.
 
 TOLERATED_FAILURES = (0.6, 0.35, 0.08)
@@ -137,7 +139,7 @@
     :ivar tolerated: fraction of its runs that may fail.
     :ivar round_began_at: monotonic second since which ``runs`` and ``failures`` are counted.
     :ivar fraction: admitted fraction of the requests, 0 to 1.
-    :ivar credit: what is left over of the fraction; a request needs 1.
+    :ivar even: chooses the requests of the fraction.
     :ivar ceiling: fraction admitted before it fell.
     :ivar decreased_at: monotonic second at which it fell last.
     :ivar round: counts the decreases; only runs begun since the last one count.
@@ -149,7 +151,7 @@
     tolerated: float
     round_began_at: float
     fraction: float = 1.0
-    credit: float = 1.0
+    even: EvenFraction = field(default_factory=lambda: EvenFraction(credit=1.0))
     ceiling: float = 1.0
     decreased_at: float = -math.inf
     round: int = 0
@@ -187,11 +189,7 @@
         self._count_caller(admission, caller)
         if admission.fraction >= 1.0 or admission.called_by_workers:
             return True
-        admission.credit = min(2.0, admission.credit + admission.fraction)
-        if admission.credit < 1.0:
-            return False
-        admission.credit -= 1.0
-        return True
+        return admission.even.admits(admission.fraction)
 
     @staticmethod
     def _count_caller(admission: _RouteAdmission, caller: str) -> None:
--- a/src/cranklane/sidecar/admission/tenant_quota.py
+++ b/src/cranklane/sidecar/admission/tenant_quota.py
@@ -20,6 +20,7 @@
 
 from cranklane.records.messages import TenantShare, TenantUsage
 from cranklane.routes.tenants import Tenant
+from cranklane.sidecar.admission.even_fraction import EvenFraction
 from cranklane.sidecar.admission.retry_after import ADMITTED_ALL_PERMILLE
 
 UPDATE_SECONDS = 1.2
@@ -37,7 +38,7 @@
     """What this sidecar knows of one tenant.
 
     :ivar permille: fraction of its requests to admit, in thousandths.
-    :ivar credit: what is left over of the fraction; a request needs 1.
+    :ivar even: chooses the requests of the fraction.
     :ivar filled_at: monotonic second at which ``tokens`` were filled last.
     :ivar tokens: requests that the own share allows now, while there is no update.
     :ivar offered: requests since the last report.
@@ -45,7 +46,7 @@
     :ivar returned: requests admitted that have not run, since the last report.
     """
 
-    credit: float
+    even: EvenFraction
     filled_at: float
     permille: int = ADMITTED_ALL_PERMILLE
     tokens: float = OWN_SHARE_BURST
@@ -124,11 +125,7 @@
     def _within_fraction(account: _Account) -> bool:
         if account.permille >= ADMITTED_ALL_PERMILLE:
             return True
-        account.credit += account.permille / ADMITTED_ALL_PERMILLE
-        if account.credit < 1:
-            return False
-        account.credit -= 1
-        return True
+        return account.even.admits(account.permille / ADMITTED_ALL_PERMILLE)
 
     def _within_own_share(self, account: _Account, tenant: Tenant) -> bool:
         now = self._clock()
@@ -144,7 +141,7 @@
         account = self._accounts.get(name)
         if account is None:
             # A random start, so that not all sidecars refuse the same one of their requests.
-            account = _Account(self._random.random(), self._clock())
+            account = _Account(EvenFraction(self._random.random()), self._clock())
             self._accounts[name] = account
         return account
 
