--- a/src/cranklane/node/admission.py
+++ b/src/cranklane/node/admission.py
@@ -16,13 +16,8 @@
 from gevent.event import AsyncResult
 from result import Err, Ok, Result
 
-from cranklane.node.admission_rule import (
-    MIN_RETRY_AFTER_MS,
-    expected_wait,
-    is_overloaded,
-    refusal_at_once,
-    retry_after_ms,
-)
+from cranklane.node import retry_after
+from cranklane.node.admission_rule import expected_wait, is_overloaded, refusal_at_once
 from cranklane.node.concurrency import ConcurrencyLimit
 from cranklane.node.fair_queue import FairQueue, Waiting
 from cranklane.node.refusal_memory import RefusalMemory
@@ -122,7 +117,7 @@
         wait = None if free else self._wait_for(tenant, criticality)
         reason = refusal_at_once(self.draining, deadline - now, wait, self.concurrency.likely_time)
         if reason is Reason.DRAINING:
-            return Err(Refusal(reason, MIN_RETRY_AFTER_MS))
+            return Err(Refusal(reason, retry_after.DRAINING_MS))
         if reason is Reason.DEADLINE_PASSED:
             return Err(Refusal(reason))
         if reason is not None:
@@ -181,7 +176,7 @@
     def _refuse(self, tenant: str, criticality: Criticality, reason: Reason) -> Refusal:
         if reason is not Reason.CANCELLED:
             self._refusals.refused(tenant, criticality)
-        return Refusal(reason, retry_after_ms(self._wait_for(tenant, criticality)))
+        return Refusal(reason, retry_after.after_queue(self._wait_for(tenant, criticality)))
 
     def refused_below(self, tenant: str) -> int:
         """Return one more than the highest criticality refused lately, or 0."""
--- a/src/cranklane/node/admission_rule.py
+++ b/src/cranklane/node/admission_rule.py
@@ -1,27 +1,18 @@
-"""Decides which calls are refused at once, how long a call would wait, and when it may be retried.
+"""Decides which calls are refused at once, and how long a call would wait.
 
 Owns the rules and their constants; :mod:`~cranklane.node.admission` keeps the counts that
-they take. The sidecar's rules (:mod:`~cranklane.sidecar.admission`) are others: there a
-request waits as long as the objective of its route allows, here as long as its deadline.
+they take. The sidecar's rules (:mod:`~cranklane.sidecar.admission`) are others: there the
+caller's sidecar states how long a request may wait for a slot, here its deadline bounds it.
 """
 
 from __future__ import annotations
 
-from cranklane.common.units import MILLISECONDS
 from cranklane.outcome import Reason
 
 OVERLOADED_AFTER_SECONDS = 0.2
 """Seconds without an empty queue after which the newest call goes first. A choice: several
 service times, so that a short burst is served in its order."""
 
-MIN_RETRY_AFTER_MS = 50
-"""Milliseconds after which a refused call may be retried at the earliest. A choice: about one
-service time, as assumed before the first one is measured."""
-
-MAX_RETRY_AFTER_MS = 10_000
-"""Milliseconds after which it may be retried at the latest. A choice: an estimate of a longer
-wait is not worth following."""
-
 
 def refusal_at_once(
     draining: bool, remaining: float, wait: float | None, likely_time: float
@@ -63,17 +54,6 @@
     return (ahead + 1) * service_time / slots
 
 
-def retry_after_ms(wait: float) -> int:
-    """Return the milliseconds after which a refused call may be retried.
-
-    :param wait: seconds it would have waited for a slot.
-
-    >>> [retry_after_ms(wait) for wait in (0.0, 1.5, 60.0)]
-    [50, 1500, 10000]
-    """
-    return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, int(wait * MILLISECONDS)))
-
-
 def is_overloaded(now: float, last_empty: float) -> bool:
     """Return whether the newest call goes first: an old one has little time left.
 
--- a/src/cranklane/node/attempt.py
+++ b/src/cranklane/node/attempt.py
@@ -14,6 +14,7 @@
 
 from cranklane.common.units import MILLISECONDS
 from cranklane.errors import ConnectionLostError
+from cranklane.node import retry_after
 from cranklane.node.answer import Answer, Request, refused
 from cranklane.node.balancer import Balancer
 from cranklane.node.context import CallContext
@@ -30,10 +31,6 @@
 """Seconds without any piece of an answer's body after which it counts as cut. A choice: as
 long as the answering node waits for a caller that takes no bytes."""
 
-DEFAULT_RETRY_AFTER_MS = 200
-"""Milliseconds after which a refused call may be retried when the refusal states no time. A
-choice: long enough for another member to become known."""
-
 _MEMBER_FAULTS = frozenset(
     {Reason.PEER_LOST, Reason.PEER_UNREACHABLE, Reason.WORKER_UNREACHABLE, Reason.DEADLINE_PASSED}
 )
@@ -89,7 +86,7 @@
         """Make one attempt; return how it ended, with the answer's body still on its way."""
         member = self._choose(call)
         if member is None:
-            return refused(Reason.NO_MEMBERS, DEFAULT_RETRY_AFTER_MS)
+            return refused(Reason.NO_MEMBERS, retry_after.DEFAULT_MS)
         call.tried.add(member.node)
         context = call.context
         remaining = context.deadline - self._runtime.monotonic()
--- a/src/cranklane/node/call_runner.py
+++ b/src/cranklane/node/call_runner.py
@@ -14,9 +14,9 @@
 from result import Err, Ok, Result
 
 from cranklane.common.http_client import HttpResponse
-from cranklane.common.units import MILLISECONDS
 from cranklane.errors import AnswerCutError
 from cranklane.ledger.store import MAX_STORED_BODY
+from cranklane.node import retry_after
 from cranklane.node.admission import Admission, Refusal, Slot
 from cranklane.node.answer_stream import passed_on, send_stream, send_whole
 from cranklane.node.context import ContextTable
@@ -149,7 +149,7 @@
         concurrency = self._admission.concurrency
         if failure.reason is Reason.WORKER_SHED:
             concurrency.shed()
-        retry_after_ms = int(concurrency.service_time * MILLISECONDS)
+        retry_after_ms = retry_after.after_worker(concurrency.service_time)
         if call.context.cancelled is None:
             self._refuse(call, failure.outcome, Refusal(failure.reason, retry_after_ms))
         return failure.outcome is Outcome.UNKNOWN
--- a/src/cranklane/node/once.py
+++ b/src/cranklane/node/once.py
@@ -17,6 +17,7 @@
 from cranklane.common.units import MILLISECONDS
 from cranklane.ledger.store import MAX_STORED_BODY, LedgerDecision
 from cranklane.node.ledger_client import LedgerClient
+from cranklane.node.retry_after import LEDGER_MS
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import CallOpen, LedgerBegin, LedgerFinish, LedgerGrant
 from cranklane.runtime.interface import Runtime
@@ -36,10 +37,6 @@
 FINISH_PAUSE_SECONDS = 0.5
 """Seconds between these tries. A choice."""
 
-RETRY_AFTER_MS = 1000
-"""Milliseconds after which a once-call may be retried, when the ledger does not answer or
-another attempt is running. A choice: by then the ledger has a leader again."""
-
 _ATTEMPT_BITS = 64
 """Random bits of an attempt's number: what its field in the record takes."""
 
@@ -139,10 +136,10 @@
     @staticmethod
     def _unavailable(ticket: OnceTicket, not_run: bool) -> OnceRefusal:
         if not_run:
-            return OnceRefusal(Outcome.NOT_RUN, Reason.LEDGER_UNAVAILABLE, RETRY_AFTER_MS)
+            return OnceRefusal(Outcome.NOT_RUN, Reason.LEDGER_UNAVAILABLE, LEDGER_MS)
         # The entry may have been created: let the key be free again if it was.
         ticket.finish(Outcome.NOT_RUN)
-        return OnceRefusal(Outcome.UNKNOWN, Reason.LEDGER_UNAVAILABLE, RETRY_AFTER_MS)
+        return OnceRefusal(Outcome.UNKNOWN, Reason.LEDGER_UNAVAILABLE, LEDGER_MS)
 
     def store(self, group: str, request: LedgerFinish) -> None:
         """Store an outcome, trying for :data:`FINISH_SECONDS`."""
@@ -196,7 +193,7 @@
         case LedgerDecision.ANSWERED:
             return Err(OnceRefusal(Outcome.ANSWERED, Reason.NONE, stored=grant))
         case LedgerDecision.IN_PROGRESS:
-            return Err(OnceRefusal(Outcome.UNKNOWN, Reason.IN_PROGRESS, RETRY_AFTER_MS))
+            return Err(OnceRefusal(Outcome.UNKNOWN, Reason.IN_PROGRESS, LEDGER_MS))
         case LedgerDecision.CONFLICT:
             return Err(OnceRefusal(Outcome.NOT_RUN, Reason.KEY_CONFLICT))
         case _:
--- a/src/cranklane/node/outbound.py
+++ b/src/cranklane/node/outbound.py
@@ -10,8 +10,9 @@
 
 from http import HTTPStatus
 
+from cranklane.node import retry_after
 from cranklane.node.answer import Answer, Request, refused
-from cranklane.node.attempt import DEFAULT_RETRY_AFTER_MS, AttemptSender, OutboundCall
+from cranklane.node.attempt import AttemptSender, OutboundCall
 from cranklane.node.context import MAX_DEPTH, CallContext
 from cranklane.node.early_refusal import EarlyRefusal
 from cranklane.node.members import MemberTable
@@ -102,7 +103,7 @@
         budget.called(service.retry_ratio)
         members = self._members.of(service.tenant, service.name)
         if self._early_refusal.refuses(members, call.context.tenant, call.criticality):
-            return refused(Reason.REFUSED_EARLY, DEFAULT_RETRY_AFTER_MS)
+            return refused(Reason.REFUSED_EARLY, retry_after.DEFAULT_MS)
         kind = _FIRST_ATTEMPT
         while True:
             self._metrics.attempt(service.full_name, kind)
@@ -133,5 +134,5 @@
         if call.maybe_ran:
             answer.outcome = Outcome.UNKNOWN
         if answer.outcome is Outcome.NOT_RUN and not answer.retry_after_ms:
-            answer.retry_after_ms = DEFAULT_RETRY_AFTER_MS
+            answer.retry_after_ms = retry_after.DEFAULT_MS
         return answer
--- a/tests/test_node_admission.py
+++ b/tests/test_node_admission.py
@@ -6,17 +6,21 @@
 
 from cranklane.node.admission import Admission
 from cranklane.node.admission_rule import (
-    MAX_RETRY_AFTER_MS,
-    MIN_RETRY_AFTER_MS,
     OVERLOADED_AFTER_SECONDS,
     expected_wait,
     is_overloaded,
     refusal_at_once,
-    retry_after_ms,
 )
 from cranklane.node.concurrency import SHED_FACTOR, ConcurrencyLimit
 from cranklane.node.fair_queue import FairQueue, Waiting
 from cranklane.node.refusal_memory import MEMORY_SECONDS, RefusalMemory
+from cranklane.node.retry_after import (
+    DRAINING_MS,
+    MAX_QUEUE_MS,
+    MIN_QUEUE_MS,
+    after_queue,
+    after_worker,
+)
 from cranklane.outcome import Criticality, Reason
 
 REFUSALS = [
@@ -42,9 +46,21 @@
 
 
 def test_retry_after_is_the_wait_within_bounds():
-    assert retry_after_ms(0.0) == MIN_RETRY_AFTER_MS
-    assert retry_after_ms(0.3) == 300
-    assert retry_after_ms(1e9) == MAX_RETRY_AFTER_MS
+    assert after_queue(0.0) == MIN_QUEUE_MS
+    assert after_queue(0.3) == 300
+    assert after_queue(1e9) == MAX_QUEUE_MS
+
+
+def test_a_call_the_worker_refused_is_retried_after_a_service_time():
+    assert after_worker(0.25) == 250
+
+
+def test_a_draining_node_refuses_whatever_the_deadline():
+    admission = Admission(lambda: 10.0, lambda _tenant: 1)
+    admission.draining = True
+    refusal = admission.admit("t", Criticality.CRITICAL, 99.0).err_value
+    assert (refusal.reason, refusal.retry_after_ms) == (Reason.DRAINING, DRAINING_MS)
+    assert admission.refused_below("t") == 0
 
 
 def test_overloaded_after_a_while_without_an_empty_queue():
@@ -68,7 +84,7 @@
     assert admission.in_flight == 1
     late = admission.admit("t", Criticality.NORMAL, 10.001).err_value
     assert late.reason is Reason.DEADLINE_TOO_NEAR
-    assert late.retry_after_ms == MIN_RETRY_AFTER_MS
+    assert late.retry_after_ms == MIN_QUEUE_MS
     assert admission.refused_below("t") == Criticality.NORMAL + 1
     admission.release(slot, ran=True)
     assert admission.in_flight == 0
