--- a/src/cranklane/cli/control.py
+++ b/src/cranklane/cli/control.py
@@ -41,11 +41,12 @@
 @control_commands.command()
 def add(name: str, control: Control, token: Token) -> None:
     """Let a replica vote; its process must have joined. Waits until it does."""
-    _add(name, control, token)
+    _make_voter(name, control, token)
     typer.echo(f"{name} votes")
 
 
-def _add(name: str, control: str, token: str) -> None:
+def _make_voter(name: str, control: str, token: str) -> None:
+    """Let a replica vote as soon as it has joined; fail when it does not in time."""
     until = time.monotonic() + WAIT_SECONDS
     asked = False
     while True:
@@ -71,7 +72,7 @@
 @control_commands.command()
 def replace(old: str, new: str, control: Control, token: Token) -> None:
     """Let NEW vote, then remove OLD; a quorum is kept at every step."""
-    _add(new, control, token)
+    _make_voter(new, control, token)
     call(control, token, "DELETE", f"/v1/replicas/{old}")
     typer.echo(f"{new} votes, {old} removed")
 
--- a/src/cranklane/node/worker.py
+++ b/src/cranklane/node/worker.py
@@ -74,7 +74,7 @@
                 connection,
             )
         except HttpRequestError as error:
-            return Err(_failure(error))
+            return Err(failure_of(error))
         if _shed(response):
             response.close()
             return Err(WorkerFailure(Outcome.NOT_RUN, Reason.WORKER_SHED))
@@ -91,11 +91,16 @@
         return own + call.headers
 
 
-def _failure(error: HttpRequestError) -> WorkerFailure:
+def failure_of(error: HttpRequestError) -> WorkerFailure:
+    """Return what is known of a run on whose connection no answer came."""
     if not error.sent:
+        # The request could not be written as HTTP, so no byte of it left.
         return WorkerFailure(Outcome.NOT_RUN, Reason.BAD_REQUEST)
-    reason = Reason.DEADLINE_PASSED if error.timed_out else Reason.WORKER_FAILED
-    return WorkerFailure(Outcome.UNKNOWN, reason)
+    if error.timed_out:
+        # The worker may still be running it.
+        return WorkerFailure(Outcome.UNKNOWN, Reason.DEADLINE_PASSED)
+    # The connection broke: the worker may have run it or not.
+    return WorkerFailure(Outcome.UNKNOWN, Reason.WORKER_FAILED)
 
 
 def _shed(response: HttpResponse) -> bool:
--- a/src/cranklane/settings.py
+++ b/src/cranklane/settings.py
@@ -57,10 +57,11 @@
 )
 NAME = Check("a name of small letters, digits and dashes", _is_name)
 OPTIONAL_NAME = Check(
-    "a name of small letters, digits and dashes, or nothing", lambda v: v == "" or _is_name(v)
+    "a name of small letters, digits and dashes, or nothing",
+    lambda value: value == "" or _is_name(value),
 )
 OPTIONAL_ADDRESS = Check(
-    "an address like 127.0.0.1:7000, or nothing", lambda v: v == "" or _is_address(v)
+    "an address like 127.0.0.1:7000, or nothing", lambda value: value == "" or _is_address(value)
 )
 ADDRESSES_OR_NONE = Check(
     "a list of addresses like 127.0.0.1:7000, or an empty one",
@@ -81,7 +82,7 @@
 
 
 YES_OR_NO = Check(
-    "true or false (yes or no as a flag)", lambda v: isinstance(v, bool), _parse_yes_or_no
+    "true or false (yes or no as a flag)", lambda value: isinstance(value, bool), _parse_yes_or_no
 )
 
 
--- /dev/null
+++ b/tests/test_node_worker.py
@@ -0,0 +1,22 @@
+"""What a node knows of a run in its worker that gave no answer."""
+
+from __future__ import annotations
+
+import pytest
+
+from cranklane.common.http_client import HttpRequestError
+from cranklane.node.worker import WorkerFailure, failure_of
+from cranklane.outcome import Outcome, Reason
+
+CASES = [
+    # sent, timed out, outcome, reason
+    (False, False, Outcome.NOT_RUN, Reason.BAD_REQUEST),
+    (True, False, Outcome.UNKNOWN, Reason.WORKER_FAILED),
+    (True, True, Outcome.UNKNOWN, Reason.DEADLINE_PASSED),
+]
+
+
+@pytest.mark.parametrize(("sent", "timed_out", "outcome", "reason"), CASES)
+def test_only_what_was_not_sent_has_certainly_not_run(sent, timed_out, outcome, reason):
+    error = HttpRequestError("broken", sent, timed_out)
+    assert failure_of(error) == WorkerFailure(outcome, reason)
