--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -1,4 +1,4 @@
-"""A control process: its parts put together, started and stopped."""
+"""A control process that keeps policies: its parts put together, started and stopped."""
 
 from __future__ import annotations
 
@@ -36,7 +36,8 @@
 """Name of the group of replicas that holds the configuration."""
 
 STALE_SECONDS = 3.0
-"""Seconds out of touch with the group after which subscribers are sent away."""
+"""Time out of touch with the group after which subscribers are sent away. A choice: above the
+longest election timeout (2 s), so that an ordinary election sends nobody away."""
 
 TIMING = NodeServiceTiming(stale=STALE_SECONDS, last_resort=10.0, touch=0.5, expiry=1.0)
 
--- a/src/cranklane/controller/confirmation.py
+++ b/src/cranklane/controller/confirmation.py
@@ -1,9 +1,9 @@
-"""Knows as of when this process's copy of the state is certainly the newest.
+"""As of when this process's copy of the state was certainly the newest.
 
 A replica that leads knows it while a quorum supports it. Another one asks the leader and
 learns up to which entry all lies that was acknowledged before it asked. The age counts
-from the moment of asking, so that an answer that was held up on its way proves no more
-than it should.
+from the moment of asking, so that an answer that was delayed on its way proves no more
+than it should. Owns the newest answers; log and leadership belong to the replica.
 """
 
 from __future__ import annotations
@@ -17,10 +17,11 @@
 from cranklane.replication.replica import Replica
 
 ASK_SECONDS = 0.25
-"""Between two questions to the leader: what a follower confirms is at most about this
-much older than what the leader would."""
+"""Between two questions to the leader: what a follower confirms is older by about this much
+than what the leader would. A choice: below the heartbeats of sidecars (0.5 s)."""
 
 REPLY_SECONDS = 0.5
+"""Wait for the leader's answer. A choice: a later one would prove little."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,7 +42,7 @@
         self._newest: _Confirmation | None = None
 
     def run(self) -> None:
-        """Ask the leader now and then, for ever."""
+        """Ask the leader each ``ASK_SECONDS`` while another replica leads, for ever."""
         while True:
             if not self._replica.is_leader:
                 self._ask()
--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -1,4 +1,7 @@
-"""A control process for route tables that forms and repairs its own group."""
+"""A control process for route tables that forms and repairs its own group.
+
+Owns the parts and the order in which they start and stop.
+"""
 
 from __future__ import annotations
 
@@ -96,37 +99,38 @@
         )
         self.membership = self._nodes.membership
         self.publisher = self._nodes.publisher
+        self.replica = self._make_replica()
+        self._confirmation = Confirmation(self.replica, runtime.monotonic)
+        self._sidecars = self._make_sidecar_service()
+        voters = 2 * settings.tolerated_losses + 1
+        self.changes = MembershipChange(self.replica, voters)
+        peers = PeerService(self.replica, self.changes.join)
+        self._port = ReplicaPort(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
+        self.editor = RouteEditor(self.store, self.replica, voters)
+
+    def _make_replica(self) -> Replica:
+        settings = self.settings
         # An address belongs to one machine at a time, so it names a replica.
         address = settings.advertise or settings.listen
         identity = ReplicaIdentity(GROUP, address, address, settings.http)
-        self.replica = Replica(
-            runtime,
-            runtime.storage(settings.data),
-            self.store,
-            identity,
-            self._applied,
-            self._log,
-        )
-        self._confirmation = Confirmation(self.replica, runtime.monotonic)
+        storage = self.runtime.storage(settings.data)
+        return Replica(self.runtime, storage, self.store, identity, self._applied, self._log)
+
+    def _make_sidecar_service(self) -> SidecarService:
         quotas = FleetQuotas(
-            settings.name,
-            runtime.monotonic,
+            self.settings.name,
+            self.runtime.monotonic,
             lambda: self.store.tenants,
             self._fleet,
-            settings.quota_slack,
+            self.settings.quota_slack,
         )
-        self._sidecars = SidecarService(
+        return SidecarService(
             self._confirmation,
             quotas,
             lambda: self.store.revision,
             self.publisher.wake,
             self._nodes.usage_changed,
         )
-        voters = 2 * settings.tolerated_losses + 1
-        self.changes = MembershipChange(self.replica, voters)
-        peers = PeerService(self.replica, self.changes.join)
-        self._port = ReplicaPort(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
-        self.editor = RouteEditor(self.store, self.replica, voters)
 
     def start(self) -> None:
         """Come back to the last state, then open the ports and find the group."""
--- a/src/cranklane/controller/tenant_usage.py
+++ b/src/cranklane/controller/tenant_usage.py
@@ -62,7 +62,7 @@
 class _Owner:
     """What another controller has reported.
 
-    :ivar began_us: identifies its life.
+    :ivar began_us: identifies its run: when it was started, in microseconds.
     :ivar nodes: sidecars that report to it.
     :ivar counts: last totals by tenant.
     """
--- a/src/cranklane/distribution/member_state.py
+++ b/src/cranklane/distribution/member_state.py
@@ -13,7 +13,7 @@
     GONE = 2
     """It said that it ends, or that nothing runs there."""
     SILENT = 3
-    """Control has not heard of it for its lease: it is gone, or cut off from control."""
+    """Its lease at control has run out: it is gone, or cut off from control."""
 
     @property
     def is_there(self) -> bool:
--- a/src/cranklane/distribution/membership.py
+++ b/src/cranklane/distribution/membership.py
@@ -118,6 +118,10 @@
         if known.member.incarnation != heartbeat.incarnation:
             return
         known.last_heartbeat_at = self._clock()
+        self._take_state(known, heartbeat)
+
+    def _take_state(self, known: _Known, heartbeat: Heartbeat) -> None:
+        """Put a member whose own state has changed."""
         member = known.member
         stated = (
             heartbeat.state,
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -209,6 +209,7 @@
             try:
                 records.send(self._heartbeat())
             except ConnectionLostError:
+                # The task that reads the connection follows another control process.
                 return
             gevent.sleep(self._timing.heartbeat)
             self._leave_when_behind(records)
@@ -248,7 +249,7 @@
             records.send(message)
         except ConnectionLostError:
             # Its reader sees the same and looks for another control process.
-            pass
+            return
 
     def stop(self) -> None:
         """Follow control no more; a replacement of the same name may be there already."""
--- a/src/cranklane/replication/leadership.py
+++ b/src/cranklane/replication/leadership.py
@@ -112,25 +112,31 @@
                 wakeup.wait(HEARTBEAT_SECONDS)
         self._followed.discard(member.identity)
 
-    def _send_entries(
-        self, link: ReplicaLink, member: ReplicaMember, next_index: int
-    ) -> int | None:
-        """Send entries; return the next index to send, or None without a reply."""
+    def _append_request(self, next_index: int) -> AppendRequest | None:
+        """Return the request with the entries from an index on, or None without the one before."""
         state = self._state
-        log = state.log
-        previous_term = log.term_at(next_index - 1)
+        previous_term = state.log.term_at(next_index - 1)
         if previous_term is None:
-            return log.snapshot.index
-        request = AppendRequest(
+            return None
+        return AppendRequest(
             term=self.term,
             leader=state.identity,
             previous_index=next_index - 1,
             previous_term=previous_term,
             commit=state.commit_index,
-            entries=log.between(next_index, next_index + MAX_BATCH_ENTRIES - 1),
+            entries=state.log.between(next_index, next_index + MAX_BATCH_ENTRIES - 1),
             leased=self.has_lease(),
         )
-        sent_at = state.runtime.monotonic()
+
+    def _send_entries(
+        self, link: ReplicaLink, member: ReplicaMember, next_index: int
+    ) -> int | None:
+        """Send entries; return the next index to send, or None without a reply."""
+        request = self._append_request(next_index)
+        if request is None:
+            # A snapshot has replaced that entry: it is sent next.
+            return self._state.log.snapshot.index
+        sent_at = self._state.runtime.monotonic()
         reply = link.call(request, AppendReply, REPLY_SECONDS)
         if reply is None or not self._is_from(link, member, reply.term):
             return None
--- a/src/cranklane/replication/link.py
+++ b/src/cranklane/replication/link.py
@@ -1,4 +1,7 @@
-"""Requests from one replica to another, one at a time on one connection."""
+"""Requests from one replica to another, one at a time on one connection.
+
+Owns that connection. A request has a reply or none in time; the caller decides when to retry.
+"""
 
 from __future__ import annotations
 
@@ -12,6 +15,8 @@
 from cranklane.runtime.interface import Runtime, parse_address
 
 CONNECT_SECONDS = 1.0
+"""Longest wait for a connection, if the request allows as much. A choice."""
+
 _Reply = TypeVar("_Reply")
 
 
@@ -35,6 +40,9 @@
     def call(self, request: Message, kind: type[_Reply], timeout: float) -> _Reply | None:
         """Return the reply, or None when there is none in time.
 
+        :param kind: type of the reply.
+        :param timeout: in seconds.
+
         Requests between replicas may be sent twice. One that fails at once on a
         kept connection, which the far end has closed meanwhile, goes out again.
         """
@@ -54,6 +62,7 @@
             try:
                 self._connected(timeout)
             except (OSError, ConnectionLostError, MalformedRecordError):
+                # Nobody answers; who asks looks again.
                 self._drop()
                 return 0
             return self.peer
@@ -64,6 +73,7 @@
             records.send(request)
             return records.expect(kind)
         except (OSError, ConnectionLostError, MalformedRecordError):
+            # No reply; the leader's silence checks count these, and the caller retries.
             self._drop()
             return None
 
--- a/src/cranklane/replication/log.py
+++ b/src/cranklane/replication/log.py
@@ -1,55 +1,23 @@
 """Durable log of entries, with a snapshot that replaces the oldest ones.
 
-File ``log`` holds frames: magic, payload length, checksum, the file offset that
-was known to be synced when the frame was written, and a LogEntry. File
-``snapshot`` holds a checksum and a LogSnapshot.
-
-The synced offset tells a torn tail from damage: bytes after the last sync may be
-lost in a crash and are cut; a bad frame below an offset that a later frame
-states as synced means that acknowledged entries are damaged.
+Owns two files: ``log`` holds frames (:mod:`log_frames`), ``snapshot`` a checksum and a
+LogSnapshot. Entries after the snapshot are also in memory. A torn tail is cut at start; damage
+to acknowledged entries is refused.
 """
 
 from __future__ import annotations
 
-import zlib
-from struct import Struct
-
 from gevent.lock import Semaphore
 
 from cranklane.common.checksummed import add_checksum, verified_payload
-from cranklane.errors import DamagedLogError, MalformedRecordError
+from cranklane.errors import DamagedLogError
 from cranklane.records.messages import LogEntry, LogSnapshot
+from cranklane.replication.log_frames import encode_frame, read_frame, synced_after
 from cranklane.runtime.interface import Storage
 
 LOG_FILE = "log"
 SNAPSHOT_FILE = "snapshot"
 
-_MAGIC = b"CLE1"
-_FRAME = Struct("!4sIIQ")
-
-
-def _frame(entry: LogEntry, synced: int) -> bytes:
-    payload = entry.pack()
-    checksum = zlib.crc32(payload, zlib.crc32(synced.to_bytes(8, "big")))
-    return _FRAME.pack(_MAGIC, len(payload), checksum, synced) + payload
-
-
-def _read_frame(data: bytes, position: int) -> tuple[LogEntry, int, int] | None:
-    """Return (entry, synced offset, next position), or None for a bad frame."""
-    start = position + _FRAME.size
-    if start > len(data):
-        return None
-    magic, size, checksum, synced = _FRAME.unpack_from(data, position)
-    payload = data[start : start + size]
-    if magic != _MAGIC or len(payload) != size:
-        return None
-    if zlib.crc32(payload, zlib.crc32(synced.to_bytes(8, "big"))) != checksum:
-        return None
-    try:
-        return LogEntry.unpack(payload), synced, start + size
-    except MalformedRecordError:
-        return None
-
 
 class Log:
     """Entries after the snapshot, in memory and on disk.
@@ -77,11 +45,11 @@
         data = self._storage.read(LOG_FILE) or b""
         position = 0
         while position < len(data):
-            frame = _read_frame(data, position)
+            frame = read_frame(data, position)
             if frame is None:
                 break
-            entry, _, position = frame
-            self._keep(entry)
+            position = frame.end
+            self._keep(frame.entry)
         torn = len(data) - position
         if torn:
             self._refuse_damage(data, position)
@@ -118,16 +86,14 @@
 
     @staticmethod
     def _refuse_damage(data: bytes, position: int) -> None:
-        following = data.find(_MAGIC, position + 1)
-        while following >= 0:
-            frame = _read_frame(data, following)
-            if frame is not None and frame[1] > position:
-                raise DamagedLogError(
-                    f"the log is damaged at byte {position} although it was synced up to "
-                    f"{frame[1]}; restore this replica with an empty data folder so that it "
-                    "rejoins as a new one, or from a back-up when it is the only one"
-                )
-            following = data.find(_MAGIC, following + 1)
+        """Raise unless what follows a bad frame is a torn tail."""
+        synced = synced_after(data, position)
+        if synced is not None:
+            raise DamagedLogError(
+                f"the log is damaged at byte {position} although it was synced up to "
+                f"{synced}; restore this replica with an empty data folder so that it "
+                "rejoins as a new one, or from a back-up when it is the only one"
+            )
 
     @property
     def last_index(self) -> int:
@@ -163,7 +129,7 @@
 
         :raises OSError: when the disk refuses them; none of them counts then.
         """
-        frames = b"".join(_frame(entry, self._synced) for entry in entries)
+        frames = b"".join(encode_frame(entry, self._synced) for entry in entries)
         if self._half_written:
             # What was written of refused frames must not stand before later ones.
             self._storage.truncate(LOG_FILE, self._size)
@@ -178,7 +144,10 @@
             self._keep(entry)
 
     def sync(self) -> int:
-        """Make the log durable; return the index that is durable now."""
+        """Make the log durable; return the index that is durable now.
+
+        :raises OSError: when the disk refuses it.
+        """
         with self._syncing:
             size, index = self._size, self.last_index
             self._storage.sync(LOG_FILE)
@@ -189,6 +158,8 @@
         """Replace the entries up to the snapshot's by the snapshot.
 
         Nothing may be appended meanwhile.
+
+        :raises OSError: when the disk refuses it.
         """
         with self._syncing:
             self._compact(snapshot)
@@ -202,6 +173,6 @@
         self.snapshot = snapshot
         self.snapshot_size = len(sealed)
         self._entries = kept
-        data = b"".join(_frame(entry, 0) for entry in kept)
+        data = b"".join(encode_frame(entry, 0) for entry in kept)
         self._storage.replace(LOG_FILE, data)
         self._size = self._synced = len(data)
--- a/src/cranklane/replication/members.py
+++ b/src/cranklane/replication/members.py
@@ -1,4 +1,8 @@
-"""The replicas of a group as the newest entry of its log states them."""
+"""The replicas of a group as the newest entry of its log states them.
+
+Owns the sets of replicas by entry; relies on the log's owner to report each entry that is
+appended, replaced or restored.
+"""
 
 from __future__ import annotations
 
@@ -57,7 +61,7 @@
         return member is not None and member.voter
 
     def stated(self, index: int, data: bytes) -> None:
-        """Take the set that an entry states."""
+        """Adopt the set that an entry states."""
         self.cut(index)
         self._sets.append((index, ReplicaSet.unpack(data).members))
 
--- a/src/cranklane/replication/port.py
+++ b/src/cranklane/replication/port.py
@@ -1,4 +1,8 @@
-"""The port that a replica shares with what it serves to nodes."""
+"""The port that a replica shares with what it serves to nodes.
+
+Owns the choice by a connection's first record; the connection then belongs to the service that
+serves it.
+"""
 
 from __future__ import annotations
 
@@ -46,4 +50,5 @@
             records.welcome(first, self._hello())
             self._serve(records)
         except (ConnectionLostError, MalformedRecordError):
+            # The peer opens another connection.
             records.close()
--- a/src/cranklane/replication/state_machine.py
+++ b/src/cranklane/replication/state_machine.py
@@ -1,4 +1,4 @@
-"""What a replicated log drives."""
+"""The state machine that a replicated log drives, as its store implements it."""
 
 from __future__ import annotations
 
--- a/src/cranklane/replication/vote_file.py
+++ b/src/cranklane/replication/vote_file.py
@@ -1,4 +1,7 @@
-"""The term, the vote and the identity of a replica, on disk."""
+"""The term, the vote and the identity of a replica, on disk.
+
+Owns one file. A replica must never vote twice in a term, so it is synced before it is in force.
+"""
 
 from __future__ import annotations
 
@@ -11,6 +14,7 @@
 
 VOTE_FILE = "vote"
 _IDENTITY_BITS = 63
+"""Random bits of an identity: enough that two replicas never draw the same one."""
 
 
 class VoteFile:
@@ -48,7 +52,10 @@
         self.state = VoteState.unpack(payload)
 
     def save(self, term: int, voted_for: int) -> None:
-        """Put a term and a vote on disk, synced, and then in force."""
+        """Put a term and a vote on disk, synced, and then in force.
+
+        :raises OSError: when the disk refuses them; the former ones stay in force.
+        """
         self._write(VoteState(term, self.state.identity, voted_for))
 
     def _write(self, state: VoteState) -> None:
