--- a/src/cranklane/control/backup.py
+++ b/src/cranklane/control/backup.py
@@ -1,4 +1,8 @@
-"""Back-ups of the configuration: taken from a leader, checked and restored offline."""
+"""Back-ups of the configuration: taken from a leader, checked and restored offline.
+
+Owns the format: a checksum and a LogSnapshot. Offline work reads and writes the files of a
+stopped process, with the same code as the process itself.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,8 @@
 from cranklane.runtime.interface import Storage
 
 REVISIONS_SKIPPED = 1_000_000
-"""More edits than can have been accepted after a back-up: two years at 1,300 a day."""
+"""Revisions by which a restored group starts above its back-up: more edits than can have been
+accepted after it. A choice: two years at 1,300 a day."""
 
 
 @dataclass(frozen=True)
--- a/src/cranklane/control/compilation.py
+++ b/src/cranklane/control/compilation.py
@@ -1,4 +1,7 @@
-"""Compiles the documents of a store; reads again only those whose text has changed."""
+"""Compiles the documents of a store; parses again only those whose text has changed.
+
+Owns the parsed trees; the documents and rows belong to the store.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/control/editor.py
+++ b/src/cranklane/control/editor.py
@@ -1,4 +1,7 @@
-"""Turns operators' edits into committed commands, one at a time."""
+"""Turns operators' edits into committed commands, one at a time.
+
+Owns the order of edits on this process; the replica commits them and the store applies them.
+"""
 
 from __future__ import annotations
 
--- a/src/cranklane/control/operator_api.py
+++ b/src/cranklane/control/operator_api.py
@@ -1,10 +1,13 @@
-"""The operators' HTTP interface of a control process."""
+"""The operators' HTTP interface of a control process.
+
+Owns nothing: it reads requests, asks the store, the editor and the membership changes, and
+writes answers. What only a leader may answer is refused elsewhere with where the leader is.
+"""
 
 from __future__ import annotations
 
 import base64
 from collections.abc import Callable
-from dataclasses import dataclass
 from http import HTTPStatus
 from typing import Any
 
@@ -12,38 +15,29 @@
 import gevent
 from result import Err, Ok, Result
 
-from cranklane.common.secret_digest import secret_digest
 from cranklane.control import backup
 from cranklane.control.editor import Edit, Editor, EditProblem
-from cranklane.control.status import ALL_TENANTS, ControlStatus
+from cranklane.control.operators import ALL_TENANTS, Operator, Operators
+from cranklane.control.status import ControlStatus
 from cranklane.control.store import ROOT, ConfigurationStore, EditResult
 from cranklane.replication.membership_change import ChangeFailure, MembershipChange
 from cranklane.replication.replica import Replica
 
+DEFAULT_WAIT_SECONDS = 10.0
 MAX_WAIT_SECONDS = 60.0
-MAX_DOCUMENT_BYTES = 1024 * 1024
-_BEARER = "bearer "
-
-
-@dataclass(frozen=True)
-class Operator:
-    """Who drives the system.
-
-    :ivar scope: the one tenant this operator may see and change, or ``*``.
-    """
+"""Longest wait for a version to be in force. A choice: below usual timeouts of HTTP clients."""
 
-    name: str
-    scope: str
+WAIT_STEP_SECONDS = 0.05
+"""Between looks at the nodes during a wait. A choice."""
 
-    def may_use(self, document: str) -> bool:
-        """Return whether a document is within the operator's scope."""
-        return self.scope in (ALL_TENANTS, document)
+MAX_DOCUMENT_BYTES = 1024 * 1024
+"""Longest text of a document, in characters. A choice: far above a tenant's policy."""
 
 
 class OperatorApi:
     """The WSGI application.
 
-    :param operators: lines ``name:scope:sha256`` of operators' tokens.
+    :param operators: who may use it.
     """
 
     def __init__(
@@ -54,7 +48,7 @@
         editor: Editor,
         changes: MembershipChange,
         clock: Callable[[], float],
-        operators: list[str],
+        operators: Operators,
     ) -> None:
         self._status = status
         self._store = store
@@ -62,7 +56,7 @@
         self._editor = editor
         self._changes = changes
         self._clock = clock
-        self._operators = _read_operators(operators)
+        self._operators = operators
         self.application = falcon.App()
         self.application.req_options.auto_parse_form_urlencoded = False
         add = self.application.add_route
@@ -76,13 +70,10 @@
         add("/v1/snapshot", self, suffix="snapshot")
 
     def _operator(self, request: falcon.Request) -> Operator:
-        credentials = request.auth or ""
-        if credentials.lower().startswith(_BEARER):
-            token = credentials[len(_BEARER) :].strip()
-            operator = self._operators.get(secret_digest(token.encode()))
-            if operator is not None:
-                return operator
-        raise falcon.HTTPUnauthorized(description="an operator's token is needed")
+        operator = self._operators.authenticate(request.auth)
+        if operator is None:
+            raise falcon.HTTPUnauthorized(description="an operator's token is needed")
+        return operator
 
     def _within_scope(self, request: falcon.Request, name: str) -> Operator:
         operator = self._operator(request)
@@ -160,12 +151,12 @@
         self._operator(request)
         version = request.get_param_as_int("version", required=True, min_value=0)
         seconds = request.get_param_as_float(
-            "seconds", default=10.0, min_value=0.0, max_value=MAX_WAIT_SECONDS
+            "seconds", default=DEFAULT_WAIT_SECONDS, min_value=0.0, max_value=MAX_WAIT_SECONDS
         )
         until = self._clock() + seconds
         behind = self._status.nodes_behind(version)
         while behind and self._clock() < until:
-            gevent.sleep(0.05)
+            gevent.sleep(WAIT_STEP_SECONDS)
             behind = self._status.nodes_behind(version)
         response.media = {"version": version, "in_force": not behind, "behind": behind}
 
@@ -252,14 +243,6 @@
     }
 
 
-def _read_operators(lines: list[str]) -> dict[str, Operator]:
-    operators = {}
-    for line in lines:
-        name, scope, digest = line.split(":")
-        operators[digest] = Operator(name, scope)
-    return operators
-
-
 def _read_edit(request: falcon.Request, name: str, operator: str) -> Edit:
     media: Any = request.get_media()
     if not isinstance(media, dict):
--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -9,6 +9,7 @@
 from cranklane.common.logs import logger
 from cranklane.control.editor import Editor
 from cranklane.control.operator_api import OperatorApi
+from cranklane.control.operators import Operators
 from cranklane.control.status import ControlStatus
 from cranklane.control.store import ConfigurationStore
 from cranklane.distribution.group_contact import NodeServiceTiming
@@ -111,7 +112,7 @@
             editor=self.editor,
             changes=self.changes,
             clock=self.runtime.monotonic,
-            operators=settings.operators,
+            operators=Operators(settings.operators),
         )
         self.http = HttpServer(self.runtime, parse_address(settings.http), api.application)
         joining = Joining(self.replica, settings.replicas, settings.founder, settings.voter)
--- a/src/cranklane/control/status.py
+++ b/src/cranklane/control/status.py
@@ -7,15 +7,13 @@
 
 from typing import Any
 
+from cranklane.control.operators import ALL_TENANTS
 from cranklane.control.store import ConfigurationStore
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.node_service import NodeService
 from cranklane.records.messages import Member, ReplicaMember
 from cranklane.replication.replica import Replica
 
-ALL_TENANTS = "*"
-"""Scope of an operator who may see and change every tenant."""
-
 
 class ControlStatus:
     """Status reports of one control process.
@@ -34,7 +32,7 @@
     def within(self, scope: str) -> dict[str, Any]:
         """Return the status of the process and of the members within a scope.
 
-        :param scope: a tenant's name or ``*``.
+        :param scope: a tenant's name or ``ALL_TENANTS``.
         """
         leader = self._replica.leader_member()
         return {
--- a/src/cranklane/controller/route_api.py
+++ b/src/cranklane/controller/route_api.py
@@ -1,4 +1,8 @@
-"""The operators' HTTP interface for route tables."""
+"""The operators' HTTP interface for route tables.
+
+Owns nothing: reads and writes need this process to lead for certain, else the answer names the
+leader (307) or that none is known (503).
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,10 @@
 from cranklane.replication.replica import Replica
 
 ROUTE_TABLE_PATH = "/v1/route-table"
+
 MAX_DOCUMENT_BYTES = 12 * 1024 * 1024
+"""Longest document that is read, in bytes. A choice: five times a table of 12,000 routes (2.2 MB,
+docs/CAPACITY.md)."""
 
 _STATUS = {
     RefusalKind.INVALID: HTTPStatus.BAD_REQUEST,
@@ -48,6 +55,7 @@
             self._send_elsewhere(request, response)
             return
         document, version = self._store.document, self._store.version
+        # Checked again: the lease must still hold after the document was read.
         if not self._replica.may_read:
             response.status = HTTPStatus.SERVICE_UNAVAILABLE
             return
--- a/src/cranklane/controller/route_editor.py
+++ b/src/cranklane/controller/route_editor.py
@@ -1,4 +1,7 @@
-"""Puts an operator's whole route table in force, or says why not."""
+"""Puts an operator's whole route table in force, or says why not.
+
+Owns nothing: the store judges a table, the replica commits it.
+"""
 
 from __future__ import annotations
 
@@ -55,11 +58,12 @@
         if isinstance(read, Err):
             return read
         command = read.ok_value
-        judged = self._store.judge(command)
-        if judged is not TableResult.TAKEN:
+        expected = self._store.judge(command)
+        if expected is not TableResult.TAKEN:
             if not self._replica.may_read:
+                # The lease was lost meanwhile: a newer table may be in force elsewhere.
                 return Err(TableRefusal(RefusalKind.NOT_LEADING))
-            return Err(self._refused(judged, command))
+            return Err(self._refusal(expected, command))
         if self._store.was_taken(command.digest):
             return Ok(command.version)
         return self._commit(command)
@@ -88,9 +92,9 @@
         result: TableResult = proposed.ok_value
         if result is TableResult.TAKEN:
             return Ok(command.version)
-        return Err(self._refused(result, command))
+        return Err(self._refusal(result, command))
 
-    def _refused(self, result: TableResult, command: RouteTableCommand) -> TableRefusal:
+    def _refusal(self, result: TableResult, command: RouteTableCommand) -> TableRefusal:
         current = self._store.version
         if result is TableResult.CONFLICT:
             problem = f"builds on version {command.base}, but {current} is in force"
--- a/src/cranklane/controller/route_store.py
+++ b/src/cranklane/controller/route_store.py
@@ -1,7 +1,7 @@
 """The route table in force, and which tables were ever taken.
 
 The store changes only by applying committed commands in order, so that every
-replica comes to the same state.
+replica comes to the same state. It owns that state; the replica owns its order.
 """
 
 from __future__ import annotations
