--- a/src/cranklane/control/__init__.py
+++ b/src/cranklane/control/__init__.py
@@ -1,1 +1,1 @@
-"""The processes on the machines with disks: configuration, members, operators."""
+"""The control program: keeps operators' policy documents and their compiled rows for nodes."""
--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -40,7 +40,11 @@
 """Time out of touch with the group after which subscribers are sent away. A choice: above the
 longest election timeout (2 s), so that an ordinary election sends nobody away."""
 
-TIMING = NodeServiceTiming(stale=STALE_SECONDS, last_resort=10.0, touch=0.5, expiry=1.0)
+TIMING = NodeServiceTiming(
+    out_of_touch_after=STALE_SECONDS, last_resort_stay=10.0, contact_check=0.5, expiry_check=1.0
+)
+"""Choices: a node that reaches no process in touch looks for one each 10 s; leases (6 s) and
+contact are checked several times within their times."""
 
 
 def _are_operators(value: Any) -> bool:
--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -45,7 +45,9 @@
 GROUP = "routes"
 """Name of the group of replicas that holds the route table."""
 
-TIMING = NodeServiceTiming(stale=1.2, last_resort=3.0, touch=0.2, expiry=0.5)
+TIMING = NodeServiceTiming(
+    out_of_touch_after=1.2, last_resort_stay=3.0, contact_check=0.2, expiry_check=0.5
+)
 """Sidecars leave a controller that is cut off within these times, so that a table is in
 force at them soon although theirs has missed it. A choice: well within the
 2 s in which a table is to be in force."""
--- a/src/cranklane/distribution/group_contact.py
+++ b/src/cranklane/distribution/group_contact.py
@@ -18,17 +18,17 @@
 class NodeServiceTiming:
     """Times in seconds.
 
-    :ivar stale: out of touch with the group after which subscribers are sent away.
-    :ivar last_resort: that a node which found no other process stays nevertheless.
-    :ivar touch: between checks whether this process is in touch.
-    :ivar expiry: between checks for members whose lease has run out.
+    :ivar out_of_touch_after: without contact to the group until subscribers are sent away.
+    :ivar last_resort_stay: that a node which found no other process stays nevertheless.
+    :ivar contact_check: between checks whether this process is in touch.
+    :ivar expiry_check: between checks for members whose lease has run out.
     :ivar ping: between pings to a subscriber that there is no update for.
     """
 
-    stale: float
-    last_resort: float
-    touch: float
-    expiry: float
+    out_of_touch_after: float
+    last_resort_stay: float
+    contact_check: float
+    expiry_check: float
     ping: float = PING_SECONDS
 
 
@@ -49,8 +49,8 @@
 
     @property
     def in_touch(self) -> bool:
-        """Whether the replica was in touch within the time ``stale``."""
-        return self._clock() - self._in_touch_at < self._timing.stale
+        """Whether the replica was in touch within ``out_of_touch_after``."""
+        return self._clock() - self._in_touch_at < self._timing.out_of_touch_after
 
     def admits(self, last_resort: bool) -> bool:
         """Return whether a node may subscribe.
@@ -66,4 +66,4 @@
         subscribed as a last resort.
         """
         now = self._clock()
-        return now, now - self._timing.last_resort
+        return now, now - self._timing.last_resort_stay
--- a/src/cranklane/distribution/node_service.py
+++ b/src/cranklane/distribution/node_service.py
@@ -2,7 +2,8 @@
 
 It knows the members with the other control processes, sends them and the
 configuration to its subscribers, and sends subscribers away while it may miss what
-its group has committed.
+its group has committed. Owns the tasks that do so; members, subscribers and the contact to
+the group belong to the modules that it puts together.
 """
 
 from __future__ import annotations
@@ -70,7 +71,7 @@
         :param replica: this process's replica of the group.
         """
         self._replica = replica
-        for task in (self._exchange.run, self._expire, self._watch_touch):
+        for task in (self._exchange.run, self._expire, self._watch_contact):
             self._runtime.spawn(task)
 
     def serve(self, records: RecordConnection) -> None:
@@ -104,11 +105,11 @@
         self.publisher.changed()
         self._exchange.changed()
 
-    def _watch_touch(self) -> None:
+    def _watch_contact(self) -> None:
         """Send subscribers away while this process may miss what is committed."""
         out_of_touch = False
         while True:
-            gevent.sleep(self._timing.touch)
+            gevent.sleep(self._timing.contact_check)
             if self._replica is not None and self._replica.in_touch:
                 self._contact.confirm()
             if self.in_touch == out_of_touch:
@@ -118,7 +119,8 @@
                 self.publisher.send_away(*self._contact.oldest_allowed())
 
     def _expire(self) -> None:
+        """Mark members whose lease has run out, for ever."""
         while True:
-            gevent.sleep(self._timing.expiry)
+            gevent.sleep(self._timing.expiry_check)
             for member in self.membership.expire():
                 self._log.warning("member_gone", member=member.node)
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -43,8 +43,10 @@
 
     :param controls: addresses to start from; control may name others later.
     :param identity: who this node is; versions are filled in here.
+    :param configuration: what is in force here; deltas are applied to it.
     :param storage: keeps what was adopted over a restart; None keeps nothing.
     :param follower: the process that follows.
+    :param log: for changes of the connection.
     :ivar connected: whether a control process answers now.
     """
 
--- a/tests/test_members_of_control.py
+++ b/tests/test_members_of_control.py
@@ -125,7 +125,9 @@
     assert membership.report_since(position)[0].members == []
 
 
-TIMING = NodeServiceTiming(stale=3.0, last_resort=10.0, touch=0.5, expiry=1.0)
+TIMING = NodeServiceTiming(
+    out_of_touch_after=3.0, last_resort_stay=10.0, contact_check=0.5, expiry_check=1.0
+)
 
 
 @pytest.mark.parametrize(
