--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -63,7 +63,7 @@
     """The connection of one sidecar to control.
 
     :param own: what is reported of this sidecar.
-    :param condition: of its worker, judged anew before each heartbeat.
+    :param condition: of its worker, renewed before each heartbeat.
     :param state: what control keeps up to date.
     :ivar subscription: follows one controller after the other.
     """
@@ -108,7 +108,7 @@
         self.subscription.announce()
 
     def report_usage(self) -> None:
-        """Report tenants' usage whenever there is any, for ever."""
+        """Report tenants' usage whenever there is any; never returns."""
         quota = self._state.quota
         while True:
             quota.used.wait()
@@ -126,7 +126,7 @@
         return self._own.heartbeat()
 
     def _take_answer(self, message: Message) -> None:
-        """Take an answer to a heartbeat, or the fractions of tenants' requests to admit."""
+        """Apply an answer to a heartbeat, or the fractions of tenants' requests to admit."""
         match message:
             case HeartbeatAnswer():
                 self._take_heartbeat_answer(message)
--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -129,7 +129,7 @@
         return Err(refusal(reason, retry_after_ms=retry_after_ms))
 
     def not_run(self, caller: Caller) -> None:
-        """Take that an admitted request has not run: it does not count against the rate."""
+        """Record that an admitted request has not run: it does not count against the rate."""
         if caller.limited:
             self._quota.returned(caller.tenant)
 
--- a/src/cranklane/sidecar/ingress/call_builder.py
+++ b/src/cranklane/sidecar/ingress/call_builder.py
@@ -97,7 +97,7 @@
         )
 
     def _allowed_seconds(self, head: RequestHead, route: Route) -> float:
-        """Return how long the caller waits: as its route allows, or less by its own word."""
+        """Return how long the caller waits: its route's timeout, or less if its header says so."""
         allowed_ms = route.timeout_ms
         stated = head.value(self._deadline_name)
         if stated is not None and stated.isdigit():
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -225,13 +225,13 @@
         return self.adopted.version > 0 and not self.own.stopping
 
     def reload(self, settings: SidecarSettings) -> None:
-        """Take changed settings: the seeds and the operators' digest can change."""
+        """Apply changed settings: the seeds and the operators' digest can change."""
         if settings.seeds != self.settings.seeds:
             self._log.info("seeds_changed", seeds=settings.seeds)
         self.settings = settings
         self.control.reload(settings)
 
-    # What the parts tell each other.
+    # Callbacks of the parts.
 
     def _hello(self) -> Hello:
         return self.own.hello(self.adopted.version)
--- a/src/cranklane/sidecar/table/adopted_table.py
+++ b/src/cranklane/sidecar/table/adopted_table.py
@@ -16,11 +16,11 @@
 from cranklane.routes.table import RouteTable
 
 MAX_PROBLEMS = 3
-"""Problems of an unreadable table that are logged. A choice: the first ones tell the cause."""
+"""Problems of an unreadable table that are logged. A choice: the first ones show the cause."""
 
 
 class AdoptedTable:
-    """Takes tables from control in order and never steps back.
+    """Applies control's deltas in order and never steps back.
 
     :param on_adopt: called after each delta, also one without rows.
     :ivar version: revision of the newest table in force; 0 before the first.
--- a/src/cranklane/sidecar/table/table_lease.py
+++ b/src/cranklane/sidecar/table/table_lease.py
@@ -35,7 +35,7 @@
         self._pending_revision = 0
 
     def confirmed(self, newest_at: float, revision: int, in_force: int) -> None:
-        """Take that a revision was the newest at a moment of this process's clock.
+        """Record that a revision was the newest at a moment of this process's clock.
 
         :param newest_at: that moment, in monotonic seconds.
         :param revision: the revision that was confirmed.
@@ -48,7 +48,7 @@
             self._pending_revision = revision
 
     def adopted(self, revision: int) -> None:
-        """Take that a revision is in force here now."""
+        """Record that a revision is in force here now."""
         if revision >= self._pending_revision:
             self._newest_at = max(self._newest_at, self._pending_at)
 
--- a/src/cranklane/sidecar/telemetry/decision_log.py
+++ b/src/cranklane/sidecar/telemetry/decision_log.py
@@ -60,7 +60,7 @@
     def attempted(
         self, progress: CallProgress, destination: Destination, reply: Reply, seconds: float
     ) -> None:
-        """Take the end of one attempt, with what made this destination the choice."""
+        """Log an attempt that has ended, with what made this destination the choice."""
         call = progress.call
         self._metrics.attempt(call.service, reply.outcome, reply.reason)
         if reply.outcome is Outcome.ANSWERED or not self._problems.allows():
@@ -85,7 +85,7 @@
         )
 
     def decided(self, decision: Decision) -> None:
-        """Take what became of a request."""
+        """Log and count what became of a request."""
         end = end_of(decision)
         self._metrics.request(decision)
         if decision.of_client:
@@ -113,7 +113,7 @@
         )
 
     def refused_at_ingress(self, refusal: IngressRefusal) -> None:
-        """Take that a request was refused for its key, its tenant's limit or a stale table."""
+        """Log that a request was refused for its key, its tenant's limit or a stale table."""
         self._metrics.ingress_refusal(refusal.reason)
         if not self._problems.allows():
             return
@@ -129,7 +129,7 @@
     def admission(
         self, request: str, reason: Reason, running: int, queued: int, slots: int, waited: float
     ) -> None:
-        """Take what the gate beside the worker decided."""
+        """Log what the gate beside the worker decided."""
         self._metrics.admission(reason, waited)
         if reason is Reason.NONE or not self._problems.allows():
             return
@@ -144,7 +144,7 @@
         )
 
     def quarantined(self, call: Call, identity: Identity, seconds_left: float) -> None:
-        """Take that a request of this machine's callers is quarantined."""
+        """Log that a request of this machine's callers is quarantined."""
         if not self._problems.allows():
             return
         self._log.info(
@@ -156,7 +156,7 @@
         )
 
     def worker_exited(self, exited: WorkerExit) -> None:
-        """Take that the worker's process has exited, and what it was running."""
+        """Log that the worker's process has exited, and what it was running."""
         self._metrics.worker_exited(exited.planned)
         self._log.warning(
             "worker_ended",
@@ -170,7 +170,7 @@
         )
 
     def summarise(self) -> None:
-        """State now and then how many lines were left out, for ever."""
+        """Log from time to time how many lines were left out; never returns."""
         while True:
             gevent.sleep(SUMMARY_SECONDS)
             self._summary.write()
--- a/src/cranklane/sidecar/telemetry/request_summary.py
+++ b/src/cranklane/sidecar/telemetry/request_summary.py
@@ -18,7 +18,7 @@
 from cranklane.sidecar.request.decision import Decision
 
 LINE_SECONDS = 1.0
-"""Seconds that one line covers. A choice: short enough to tell a fault from what follows it."""
+"""Seconds that one line covers. A choice: short enough to show a fault before what follows it."""
 
 RUN_FAILED = "run_failed"
 """Cause of a request whose worker answered with an error though no call of it failed."""
@@ -89,7 +89,7 @@
         self._work: defaultdict[tuple[str, End], int] = defaultdict(int)
 
     def add(self, decision: Decision, end: End) -> None:
-        """Take a request of a client that has ended."""
+        """Add a request of a client that has ended."""
         if self._clock() - self._began_at >= LINE_SECONDS:
             self.write()
         self._ends[decision.route, end, cause_of(decision, end)] += 1
--- a/src/cranklane/sidecar/worker/condition.py
+++ b/src/cranklane/sidecar/worker/condition.py
@@ -34,7 +34,11 @@
 a sick worker, and is below the time between heartbeats (0.5 s)."""
 
 _PERCENT = 100
+"""Percent in the ratio 1."""
+
 _TENTHS = 10
+"""Tenths in the slowness 1."""
+
 _MAX_TENTHS = 255
 """Largest slowness in the one byte that a record has for it."""
 
@@ -128,7 +132,7 @@
         self.reported = WELL
 
     def run_ended(self, failed: bool, ratio: float | None) -> None:
-        """Take how a run ended.
+        """Record how a run ended, and report the condition if that is due.
 
         :param failed: whether by the worker's own fault.
         :param ratio: its time as a multiple of what its route's runs are expected to take;
--- a/src/cranklane/sidecar/worker/exit.py
+++ b/src/cranklane/sidecar/worker/exit.py
@@ -82,18 +82,18 @@
         return self._begun
 
     def began(self, number: int, request: ForwardRequest, suspicion_level: int) -> None:
-        """Take that a run begins: its request is sent to the worker now.
+        """Record that a run begins: its request is sent to the worker now.
 
         :param suspicion_level: how strongly the request is suspected of crashes.
         """
         self._runs[number] = _Run(request, self._clock(), suspicion_level)
 
     def ended(self, number: int) -> None:
-        """Take that a run has ended."""
+        """Record that a run has ended."""
         self._runs.pop(number, None)
 
     def connection_lost(self, instance: str) -> bool:
-        """Take that a connection to a start of the worker was lost.
+        """Record that a connection to a start of the worker was lost, and check for an exit.
 
         :returns: whether that start has exited, not only the connection.
         """
--- a/src/cranklane/sidecar/worker/exit_check.py
+++ b/src/cranklane/sidecar/worker/exit_check.py
@@ -1,4 +1,4 @@
-"""Tells the exit of the worker's process from the loss of one connection to it.
+"""Distinguishes the exit of the worker's process from the loss of one connection to it.
 
 A lost answer, a reset connection and an exited worker look alike to the request that was under
 way. Only a port at which nobody listens any more proves an exit, and only from the worker's own
--- a/src/cranklane/sidecar/worker/fault_ratio.py
+++ b/src/cranklane/sidecar/worker/fault_ratio.py
@@ -31,7 +31,7 @@
         self._sampled_at = 0.0
 
     def sample(self, now: float, failed: bool) -> None:
-        """Take how a run ended, at a monotonic second."""
+        """Record how a run ended, at a monotonic second."""
         ratio = self.at(now)
         self._ratio = ratio + SAMPLE_WEIGHT * (failed - ratio)
         self._sampled_at = now
--- a/src/cranklane/sidecar/worker/instances.py
+++ b/src/cranklane/sidecar/worker/instances.py
@@ -23,7 +23,7 @@
         self._ended: OrderedDict[str, None] = OrderedDict()
 
     def advance(self, instance: str, sequence: int) -> bool:
-        """Take the sequence of a heartbeat; return False for one that came late.
+        """Record the sequence of a heartbeat; return False for one that came late.
 
         >>> history = InstanceHistory()
         >>> history.advance("a", 1), history.advance("a", 1), history.advance("a", 2)
@@ -35,7 +35,7 @@
         return True
 
     def end(self, instance: str) -> None:
-        """Take that a start is leaving or has left; that is final."""
+        """Record that a start is leaving or has left; that is final."""
         _remember(self._ended, instance, None)
 
     def has_ended(self, instance: str) -> bool:
@@ -43,7 +43,7 @@
         return instance in self._ended
 
     def forget_sequence(self, instance: str) -> None:
-        """Take the next heartbeat of a start whatever its sequence, and as a new start's."""
+        """Forget a start, so that its next heartbeat counts whatever its sequence."""
         self._sequences.pop(instance, None)
 
     def is_older(self, instance: str, other: str) -> bool:
--- a/src/cranklane/sidecar/worker/pool.py
+++ b/src/cranklane/sidecar/worker/pool.py
@@ -50,7 +50,7 @@
         self.idle_seconds = MAX_IDLE_SECONDS
 
     def take_keep_alive(self, head: AnswerHead) -> None:
-        """Take how long the worker says that it keeps the connection open."""
+        """Apply the worker's ``Keep-Alive`` time, if it states one."""
         value = head.value(b"keep-alive")
         if value is None:
             return
--- a/src/cranklane/sidecar/worker/probe.py
+++ b/src/cranklane/sidecar/worker/probe.py
@@ -21,9 +21,10 @@
 needs milliseconds."""
 
 MAX_TRIES = 3
+"""Tries to get an answer. A choice: a worker that has not answered by then sends heartbeats."""
+
 PAUSE_SECONDS = 0.2
-"""Tries, and the pause between two in seconds. A choice: all of them end before the worker's
-next heartbeat is late, after which nothing is gained."""
+"""Seconds between two tries. A choice, as above."""
 
 _LOAD_FIELDS = 3
 """Numbers in the header that states a worker's load: running, waiting, slots."""
@@ -69,7 +70,7 @@
         try:
             stream = self._runtime.connect(self._address, PROBE_SECONDS)
         except OSError:
-            # Not up yet, perhaps: the next try or its heartbeat will tell.
+            # Not up yet, perhaps: another try or its heartbeat follows.
             return None
         try:
             stream.settimeout(PROBE_SECONDS)
--- a/src/cranklane/sidecar/worker/registry.py
+++ b/src/cranklane/sidecar/worker/registry.py
@@ -127,7 +127,7 @@
         return self._slots.limit
 
     def heartbeat(self, heartbeat: WorkerHeartbeat) -> None:
-        """Take a heartbeat; one that is older than what is known changes nothing."""
+        """Apply a heartbeat; one that is older than what is known changes nothing."""
         instance = heartbeat.instance
         if not self._instances.advance(instance, heartbeat.sequence):
             return
@@ -149,7 +149,7 @@
             self._set_state(WorkerState.READY)
 
     def probed(self, worker: ProbedWorker) -> None:
-        """Take what a healthy worker has said; nothing after its first heartbeat."""
+        """Apply what a healthy worker has answered, unless a heartbeat came before."""
         if self.instance:
             return
         self._take_instance(worker.instance)
@@ -158,7 +158,7 @@
         self._set_state(WorkerState.READY)
 
     def deregister(self, instance: str) -> None:
-        """Take that an instance is about to end."""
+        """Record that a start is about to exit."""
         if not self.instance:
             self._take_instance(instance)
         if instance == self.instance:
@@ -174,19 +174,19 @@
         self._slots.refuse_waiting(Reason.DRAINING)
 
     def unreachable(self) -> None:
-        """Take that the worker takes no connection."""
+        """Record that the worker accepts no connection."""
         if self.state is WorkerState.READY:
             self._set_state(WorkerState.UNREACHABLE)
 
     def other_instance(self, instance: str) -> None:
-        """Take that another instance than the known one answers at the address."""
+        """Record that another start than the known one answers at the address."""
         if instance and instance != self.instance:
             self._log.warning("worker_replaced", known=self.instance, answered=instance)
             self._set_state(WorkerState.UNREACHABLE)
             self._instances.forget_sequence(instance)
 
     def watch(self) -> None:
-        """Notice when heartbeats stop, for ever."""
+        """Notice when heartbeats stop; never returns."""
         period = self._heartbeat_seconds
         checked_at = self._runtime.monotonic()
         while True:
--- a/src/cranklane/sidecar/worker/slowness.py
+++ b/src/cranklane/sidecar/worker/slowness.py
@@ -7,9 +7,11 @@
 from __future__ import annotations
 
 RISE_WEIGHT = 0.05
+"""Weight of a longer time in a route's expected latency. A choice, as below."""
+
 FALL_WEIGHT = 0.1
-"""Weights of a new time in a route's expected latency. A choice: it falls faster than it rises,
-so that one slow worker among several does not raise what is expected of all."""
+"""Weight of a shorter time. A choice: the expected latency falls faster than it rises, so that one
+slow worker among several does not raise what is expected of all."""
 
 MIN_LATENCY_SECONDS = 0.001
 """Expected seconds up to which times are not compared. A choice: below a millisecond the
@@ -95,7 +97,7 @@
         self._sampled_at = 0.0
 
     def sample(self, now: float, ratio: float) -> None:
-        """Take one run's time as a multiple of the expected latency, at a monotonic second."""
+        """Record one run's time as a multiple of the expected latency, at a monotonic second."""
         current = self.at(now)
         self._slowness = current + SAMPLE_WEIGHT * (min(ratio, MAX_RATIO) - current)
         self._sampled_at = now
