--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -230,5 +230,5 @@
 
 
 def _milliseconds(seconds: float) -> int:
-    """Return a time that is left as a record holds it: nothing when it is over."""
+    """Return the time left as records carry it, in milliseconds: 0 when it is over."""
     return max(0, int(seconds * MILLISECONDS))
--- a/src/cranklane/sidecar/routing/peer_client.py
+++ b/src/cranklane/sidecar/routing/peer_client.py
@@ -153,7 +153,7 @@
             else:
                 records.close()
 
-    def exchange(self, address: Address, news: QuarantineNews) -> QuarantineNews | None:
+    def exchange(self, address: Address, update: QuarantineNews) -> QuarantineNews | None:
         """Send an update on quarantined requests; return the answer, None without one.
 
         None counts as not reached: the sender sends it again, or another way.
@@ -164,7 +164,7 @@
             return None
         try:
             connection.records.set_silent_after(EXCHANGE_SECONDS)
-            connection.records.send(news)
+            connection.records.send(update)
             answer = connection.records.expect(QuarantineNews)
         except (ConnectionLostError, MalformedRecordError):
             connection.records.close()
--- a/src/cranklane/sidecar/routing/peer_server.py
+++ b/src/cranklane/sidecar/routing/peer_server.py
@@ -37,7 +37,7 @@
 class PeerServer:
     """Serves requests of other sidecars.
 
-    :param on_news: takes news of quarantined requests and returns the answer.
+    :param on_update: takes an update on quarantined requests and returns the answer.
     """
 
     def __init__(
@@ -45,10 +45,10 @@
         runtime: Runtime,
         gate: Gate,
         disconnects: DisconnectWatch,
-        on_news: Callable[[QuarantineNews], QuarantineNews],
+        on_update: Callable[[QuarantineNews], QuarantineNews],
         log: Any,
     ) -> None:
-        self._on_news = on_news
+        self._on_update = on_update
         self._runtime = runtime
         self._log = log
         self._gate = gate
@@ -83,7 +83,7 @@
             case ForwardRequest():
                 return self._serve(records, stream, message)
             case QuarantineNews():
-                records.send(self._on_news(message))
+                records.send(self._on_update(message))
                 return True
             case _:
                 raise MalformedRecordError(f"{type(message).__name__} from a sidecar")
--- a/src/cranklane/sidecar/routing/retry_policy.py
+++ b/src/cranklane/sidecar/routing/retry_policy.py
@@ -28,7 +28,7 @@
 in the tuples: in Python 3.11 an enum's attribute takes 0.2 us."""
 
 REFUSED_EVERYWHERE = (Reason.QUARANTINED, Reason.RUN_ALONE)
-"""Refusals that every other sidecar would repeat: they are about the request, not the worker."""
+"""Refusals that every other sidecar would give too: they concern the request, not the worker."""
 
 
 class Verdict(Enum):
@@ -124,7 +124,7 @@
 
 
 def _after_arrival(progress: CallProgress) -> Verdict:
-    """Return what follows an attempt that reached a worker and may be repeated."""
+    """Return what follows an attempt that reached a worker and may be retried."""
     if progress.attempts >= progress.call.route.max_attempts:
         return Verdict.ATTEMPTS_SPENT
     if progress.call.root.is_retry:
