--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -78,7 +78,12 @@
         self._on_quarantined = parts.on_quarantined
 
     def run(self, progress: CallProgress) -> Reply:
-        """Return the answer of a worker, or why there is none."""
+        """Return the answer of a worker, or why there is none.
+
+        The newest reply is the result, with two exceptions: an answer, even one of an error,
+        is kept until a worker gives another answer; and a refusal after an attempt that may
+        have run is UNKNOWN.
+        """
         call = progress.call
         if call.root.is_retry:
             self._budget.charge(call.service)
@@ -93,6 +98,7 @@
             destination = self._choose(progress)
             if destination is None:
                 if progress.tried:
+                    # Nobody is left to ask.
                     break
                 if self._choice.all_saturated(call.service, call.root.priority):
                     result = refusal(Reason.QUEUE_FULL, retry_after_ms=retry_after.DEFAULT_MS)
