--- a/src/cranklane/distribution/follower.py
+++ b/src/cranklane/distribution/follower.py
@@ -3,8 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 from cranklane.distribution.reconnect import MAX_BACKOFF_SECONDS
 from cranklane.records.messages import ConfigDelta, Heartbeat, MemberDelta, Message
@@ -27,8 +26,7 @@
         """Apply a delta; return False when it does not follow what is in force."""
 
 
-@dataclass(frozen=True)
-class FollowTiming:
+class FollowTiming(NamedTuple):
     """Times of a subscription, in seconds.
 
     :ivar heartbeat: between heartbeats to control.
@@ -47,8 +45,7 @@
     """Do nothing."""
 
 
-@dataclass(frozen=True)
-class Follower:
+class Follower(NamedTuple):
     """What a subscription calls in the process that follows control.
 
     :ivar heartbeat: returns the process's own state for its heartbeats; who it is
--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from functools import partial
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 from cranklane.common.header_names import HeaderNames
 from cranklane.common.units import MICROSECONDS, MILLISECONDS
@@ -47,8 +47,7 @@
         """Take one exit of the worker's process."""
 
 
-@dataclass(frozen=True, slots=True)
-class LocalWorker:
+class LocalWorker(NamedTuple):
     """The worker beside this sidecar, as its gate needs it.
 
     :ivar registry: whether it is there, and where.
--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -6,8 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
 import gevent
 
@@ -47,8 +46,7 @@
 """Members named in one log line. A choice: a whole fleet would fill the log at each start."""
 
 
-@dataclass(frozen=True, slots=True)
-class ControlledState:
+class ControlledState(NamedTuple):
     """The parts of a sidecar that control keeps up to date."""
 
     table: AdoptedTable
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -8,9 +8,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from http import HTTPStatus
-from typing import Any
+from typing import Any, NamedTuple
 
 from result import Err
 
@@ -45,8 +44,7 @@
 """Status in logs and counters of a request whose caller left before its answer."""
 
 
-@dataclass(frozen=True, slots=True)
-class IngressParts:
+class IngressParts(NamedTuple):
     """What an ingress hands requests to.
 
     :ivar table: returns the route table in force.
--- a/src/cranklane/sidecar/planned_stop.py
+++ b/src/cranklane/sidecar/planned_stop.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 import gevent
 
@@ -30,8 +30,7 @@
 """Seconds between checks whether all requests have ended. A choice: short against the stop."""
 
 
-@dataclass(frozen=True, slots=True)
-class StopTimes:
+class StopTimes(NamedTuple):
     """The times of one planned stop.
 
     :ivar withdrawal_seconds: how long callers have to notice the stop.
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from cranklane.common.units import MICROSECONDS, MILLISECONDS
 from cranklane.outcome import Outcome, Reason
@@ -34,8 +34,7 @@
 """The usual verdict, looked up once: in Python 3.11 an enum's attribute takes 0.2 us."""
 
 
-@dataclass(frozen=True, slots=True)
-class DispatcherParts:
+class DispatcherParts(NamedTuple):
     """What a dispatcher works with.
 
     :ivar gate: admits requests to the worker of this machine.
--- a/src/cranklane/sidecar/telemetry/gauges.py
+++ b/src/cranklane/sidecar/telemetry/gauges.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from cranklane.sidecar.admission.slots import Slots
 from cranklane.sidecar.quarantine.table import Quarantine
@@ -13,8 +13,7 @@
 from cranklane.sidecar.worker.condition import WorkerCondition
 
 
-@dataclass(frozen=True, slots=True)
-class GaugeSources:
+class GaugeSources(NamedTuple):
     """The parts that gauges are read from.
 
     :ivar is_ready: returns whether callers may send requests.
