--- a/src/cranklane/cli/control.py
+++ b/src/cranklane/cli/control.py
@@ -20,7 +20,8 @@
 """Seconds that a replica has to vote. A choice: time to copy the state of a large fleet."""
 
 POLL_SECONDS = 0.3
-"""Seconds between looks at whether it votes. A choice."""
+"""Seconds between looks at whether it votes. A choice: an operator waits for it, and control
+hardly notices."""
 
 
 def _replicas(control: str, token: str) -> list[dict[str, Any]]:
--- a/src/cranklane/common/small_http.py
+++ b/src/cranklane/common/small_http.py
@@ -24,14 +24,16 @@
 """Largest head of a request. A choice: far above what these calls need."""
 
 MAX_BODY_BYTES = 256 * 1024
-"""Largest body of a request; the connection of a larger one is closed. A choice."""
+"""Largest body of a request; the connection of a larger one is closed. A choice: far above
+what these calls need."""
 
 IDLE_SECONDS = 30.0
 """Seconds a kept connection may rest between requests. A choice: longer than the pause between
 two collections of metrics."""
 
 READ_SECONDS = 5.0
-"""Seconds a caller has for the head of a request, and between pieces of its body. A choice."""
+"""Seconds a caller has for the head of a request, and between pieces of its body. A choice:
+a caller in the same network needs far less."""
 
 
 @dataclass(frozen=True)
--- a/src/cranklane/node/concurrency.py
+++ b/src/cranklane/node/concurrency.py
@@ -13,7 +13,8 @@
 """Weight of the newest call in the smoothed times. A choice: about ten calls count."""
 
 ASSUMED_SECONDS = 0.05
-"""Seconds a call is taken to need before one was measured. A choice."""
+"""Seconds a call is taken to need before one was measured. A choice: an ordinary
+service's, so that the first deadlines are judged roughly."""
 
 DEVIATIONS = 2.0
 """Deviations above the smoothed time within which most calls are done. Measured: with two, 78
--- a/src/cranklane/node/once.py
+++ b/src/cranklane/node/once.py
@@ -35,7 +35,7 @@
 the entry reads as unknown, which is safe."""
 
 FINISH_PAUSE_SECONDS = 0.5
-"""Seconds between these tries. A choice."""
+"""Seconds between these tries. A choice: a group without a leader is not flooded by nodes."""
 
 _ATTEMPT_BITS = 64
 """Random bits of an attempt's number: what its field in the record takes."""
--- a/src/cranklane/node/process.py
+++ b/src/cranklane/node/process.py
@@ -44,7 +44,8 @@
 the announcement reaches callers in other regions."""
 
 CLIENT_CHECK_SECONDS = 0.05
-"""Seconds between looks at whether clients have closed. A choice."""
+"""Seconds between looks at whether clients have closed. A choice: little beside the
+grace that they have."""
 
 IDLE_CHECK_SECONDS = 0.02
 """Seconds between looks at whether calls are in flight. A choice: short beside a call."""
