--- a/src/cranklane/sidecar/admission/slots.py
+++ b/src/cranklane/sidecar/admission/slots.py
@@ -54,11 +54,11 @@
     """A place in the order; the least goes first.
 
     :ivar priority: of the root, 0 first.
-    :ivar starts_by: monotonic second of arrival, put off for those that may wait.
+    :ivar effective_arrival: monotonic second of arrival, put off for those that may wait.
     """
 
     priority: int
-    starts_by: float
+    effective_arrival: float
 
 
 class Waiter:
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -85,14 +85,14 @@
     assert served > 0.95
 
 
-def held(machine):
-    """Return whether a sidecar holds a request."""
+def has_quarantined(machine):
+    """Return whether a sidecar has quarantined a request."""
     return bool(machine.sidecar.quarantine.table.quarantined())
 
 
-def until_held(mesh, machines, since, seconds=2.0):
-    """Return the seconds from a moment on until all of some sidecars hold a request."""
-    while not all(held(machine) for machine in machines):
+def until_quarantined(mesh, machines, since, seconds=2.0):
+    """Return the seconds from a moment on until all of some sidecars have quarantined a request."""
+    while not all(has_quarantined(machine) for machine in machines):
         assert mesh.world.loop.now() - since < seconds
         gevent.sleep(0.0005)
     return mesh.world.loop.now() - since
@@ -121,7 +121,7 @@
 def test_all_sidecars_know_within_tens_of_milliseconds(others):
     def script(mesh):
         crashing = CrashingRequests(mesh)
-        return until_held(mesh, mesh.machines, second_end(mesh, crashing))
+        return until_quarantined(mesh, mesh.machines, second_end(mesh, crashing))
 
     assert play(script, services=("s",) * 5 + ("t",) * others, slots=16) < 0.03
 
@@ -157,9 +157,9 @@
         mesh.request(mesh.machines[0], CRASH)
         assert mesh.wait_for(lambda: len(crashing.crashes) == 2, 2.0)
         gevent.sleep(4.0)
-        assert not held(away)
+        assert not has_quarantined(away)
         mesh.world.network.heal_all()
-        return until_held(mesh, [away, paused], mesh.world.loop.now(), 10.0)
+        return until_quarantined(mesh, [away, paused], mesh.world.loop.now(), 10.0)
 
     assert play(script, **FLEET) < 5.0
 
@@ -176,7 +176,7 @@
         )
         assert mesh.wait_for(machine.sidecar.is_ready, 2.0)
         status = mesh.request(machine, CRASH).status
-        return status, held(machine), len(crashing.crashes)
+        return status, has_quarantined(machine), len(crashing.crashes)
 
     assert play(script, **FLEET) == (503, True, 2)
 
@@ -198,7 +198,7 @@
         )
         assert mesh.wait_for(lambda: len(machine.sidecar.directory.of()) > 0, 10.0)
         gevent.sleep(0.2)
-        return held(machine), len(crashing.crashes)
+        return has_quarantined(machine), len(crashing.crashes)
 
     assert play(script, **FLEET) == (True, 2)
 
@@ -218,7 +218,7 @@
                 machine.name, machine.service, machine.zone, machine.host
             )
         gevent.sleep(1.5)
-        return [held(machine) for machine in mesh.machines]
+        return [has_quarantined(machine) for machine in mesh.machines]
 
     assert play(script, seed=seed, **FLEET) == [True] * 7
 
@@ -262,7 +262,7 @@
         gevent.sleep(6.0)
         first = mesh.request(mesh.machines[6], CRASH).status
         gevent.sleep(0.1)
-        known = [machine for machine in mesh.machines if held(machine)]
+        known = [machine for machine in mesh.machines if has_quarantined(machine)]
         return first, known, mesh.request(mesh.machines[1], CRASH).status
 
     assert play(script, **FLEET) == (200, [], 200)
@@ -330,6 +330,6 @@
             crashing.end(*mesh.machines[first : first + together])
             gevent.sleep(3.5)
         failed = innocents.failed()
-        return failed, [machine.name for machine in mesh.machines if held(machine)]
+        return failed, [machine.name for machine in mesh.machines if has_quarantined(machine)]
 
     assert play(script, **FLEET) == (0, [])
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -15,7 +15,7 @@
 from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane_lab.simulation.crashes import CrashingRequests
 from mesh_support import play
-from test_crashing_requests import FLEET, Innocents, held, repeat
+from test_crashing_requests import FLEET, Innocents, has_quarantined, repeat
 
 
 def ends_of_one(mesh):
@@ -67,7 +67,7 @@
     assert play(ends_beside_others, **MANY) > 3
 
 
-def popular_held(mesh):
+def popular_quarantined(mesh):
     """End two workers shortly after each other while all callers send the same request."""
     for machine in mesh.machines:
         machine.worker.state.seconds = 0.16
@@ -80,7 +80,7 @@
         gevent.sleep(0.02)
         crashing.end(mesh.machines[first + 1])
         for _ in range(100):
-            were_held |= any(held(machine) for machine in mesh.machines)
+            were_held |= any(has_quarantined(machine) for machine in mesh.machines)
             gevent.sleep(0.005)
         gevent.sleep(3.0)
     innocents.failed()
@@ -88,7 +88,7 @@
 
 
 def test_a_popular_request_is_not_held_for_ends_shortly_after_each_other():
-    assert not play(popular_held, **FLEET)
+    assert not play(popular_quarantined, **FLEET)
 
 
 def test_by_its_most_suspected_copy_it_would_be_held(monkeypatch):
@@ -102,7 +102,7 @@
     monkeypatch.setattr(crash_evidence, "_suspicion_level_of", lambda run: -run.suspicion_level)
     monkeypatch.setattr(Quarantine, "retried", Quarantine.suspect)
     monkeypatch.setattr(Quarantine, "worker_crashed", worker_crashed)
-    assert play(popular_held, **FLEET)
+    assert play(popular_quarantined, **FLEET)
 
 
 # Where the others are.
