--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -50,7 +50,6 @@
         self._received = bytearray()
         self._outgoing: list[bytes] = []
         self._sending = False
-        self.bytes_sent = 0
         self.bytes_received = 0
         connection.settimeout(silent_after)
 
@@ -98,7 +97,6 @@
                 data = b"".join(self._outgoing)
                 self._outgoing.clear()
                 self._connection.sendall(data)
-                self.bytes_sent += len(data)
         except OSError as error:
             self.close()
             raise ConnectionLostError(str(error)) from error
