--- a/src/cranklane/records/messages.py
+++ b/src/cranklane/records/messages.py
@@ -676,7 +676,7 @@
 
 
 class Member(Record):
-    """One node of a service. ``sequence`` orders the states of one incarnation; ``instance`` is the start of the worker beside it and ``slots`` how many calls that runs at once, where the worker has told them. ``faults`` and ``slowness`` are how the worker's own sidecar sees it: percent of failed runs, and tenths of the typical time."""
+    """One node of a service. ``sequence`` orders the states of one incarnation; ``instance`` is the start of the worker beside it and ``slots`` how many calls that runs at once, where the worker has reported them. ``faults`` and ``slowness`` are the verdict of the worker's own sidecar: percent of failed runs, and tenths of the expected latency."""
 
     KIND: ClassVar[int] = 23
     LAYOUT: ClassVar[Struct] = Struct("!QIBIBBHHHHHH")
@@ -916,7 +916,7 @@
 
 
 class HeartbeatAnswer(Record):
-    """Answer to a heartbeat that asked for one. ``confirmed`` tells that ``revision`` was the newest of the whole group ``age_us`` before the answer was made, by a leader that a quorum supported at that moment."""
+    """Answer to a heartbeat that asked for one. ``confirmed``: ``revision`` was the newest of the whole group ``age_us`` before the answer was made, by a leader that a quorum supported at that moment."""
 
     KIND: ClassVar[int] = 28
     LAYOUT: ClassVar[Struct] = Struct("!Q?QQ")
@@ -996,7 +996,7 @@
 
 
 class UsageReport(Record):
-    """A sidecar tells control of requests since its last report."""
+    """A sidecar reports to control the requests since its last report."""
 
     KIND: ClassVar[int] = 38
     LAYOUT: ClassVar[Struct] = Struct("!I")
@@ -1032,7 +1032,7 @@
 
 
 class UsageTotals(Record):
-    """One control process tells another what its subscribers have reported: counts since ``began_us``, the start of the telling process by its monotonic clock, of the tenants whose counts have changed. ``nodes`` is how many subscribers it hears now."""
+    """One control process passes on to another what its subscribers have reported: counts since ``began_us``, its own start by its monotonic clock, of the tenants whose counts have changed. ``nodes`` is the number of subscribers that report to it now."""
 
     KIND: ClassVar[int] = 39
     LAYOUT: ClassVar[Struct] = Struct("!QIHI")
@@ -1078,7 +1078,7 @@
 
 
 class TenantShare(Record):
-    """Part of a tenant's requests that a sidecar admits, in thousandths."""
+    """Fraction of a tenant's requests that a sidecar admits, in thousandths."""
 
     KIND: ClassVar[int] = 43
     LAYOUT: ClassVar[Struct] = Struct("!HH")
@@ -1116,7 +1116,7 @@
 
 
 class TenantShares(Record):
-    """The parts that have changed since the last such record of this connection; ``whole`` tells that all others are 1000."""
+    """The fractions that have changed since the last such record of this connection; ``whole``: all others are 1000."""
 
     KIND: ClassVar[int] = 44
     LAYOUT: ClassVar[Struct] = Struct("!?I")
@@ -2302,7 +2302,7 @@
 
 
 class MemberReport(Record):
-    """One control process tells another of the nodes subscribed to it: changed members, and (node, version in force) of those that changed."""
+    """One control process reports to another the nodes subscribed to it: changed members, and (node, version in force) of those that changed."""
 
     KIND: ClassVar[int] = 72
     LAYOUT: ClassVar[Struct] = Struct("!?HII")
@@ -2754,7 +2754,7 @@
 
 
 class RouteTableCommand(Record):
-    """A checked whole route table that an operator puts in force. ``version`` is the operator's, ``base`` the one it replaces, ``digest`` tells equal requests; the ``document`` is compressed."""
+    """A checked whole route table that an operator puts in force. ``version`` is the operator's, ``base`` the one it replaces, ``digest`` identifies equal requests; the ``document`` is compressed."""
 
     KIND: ClassVar[int] = 65
     LAYOUT: ClassVar[Struct] = Struct("!QQII")
@@ -3146,7 +3146,7 @@
 
 
 class ServiceWork(Record):
-    """Time that slots of a service were held for the sake of one request."""
+    """Time that slots of a service were occupied for the sake of one request."""
 
     KIND: ClassVar[int] = 85
     LAYOUT: ClassVar[Struct] = Struct("!IH")
@@ -3184,7 +3184,7 @@
 
 
 class QuarantineEntry(Record):
-    """A request that is suspected of ending the workers that run it. ``held_ms`` is how much longer it is refused, 0 for one that is only suspected; ``ends`` names the ends of workers that speak against it, 8 bytes each; ``cleared`` tells that a worker has run it to its end, or that an operator has lifted it."""
+    """A request that is suspected of ending the workers that run it. ``held_ms`` is how much longer it is refused, 0 for one that is only suspected; ``ends`` names the crashes of workers that are evidence against it, 8 bytes each; ``cleared``: a worker has answered it, or an operator has lifted it."""
 
     KIND: ClassVar[int] = 90
     LAYOUT: ClassVar[Struct] = Struct("!I?HII")
@@ -3236,7 +3236,7 @@
 
 
 class QuarantineNews(Record):
-    """What a sidecar knows of such requests. ``digest`` is that of all it holds; ``asks`` wants the receiver's own entries where its digest differs; ``settled`` tells that the sender has learnt from others itself, since its start. The receiver passes it on to the nodes whose names come after its own, up to ``relay_to``; those of ``service``, or all where it is empty."""
+    """What a sidecar knows of such requests. ``digest`` is that of all it quarantines; ``asks`` wants the receiver's own entries where its digest differs; ``settled``: the sender has learnt from others itself, since its start. The receiver passes it on to the nodes whose names come after its own, up to ``relay_to``; those of ``service``, or all where it is empty."""
 
     KIND: ClassVar[int] = 91
     LAYOUT: ClassVar[Struct] = Struct("!Q??HHI")
--- a/src/cranklane/records/schema.py
+++ b/src/cranklane/records/schema.py
@@ -97,8 +97,9 @@
         "Member",
         "One node of a service. ``sequence`` orders the states of one incarnation; "
         "``instance`` is the start of the worker beside it and ``slots`` how many calls that "
-        "runs at once, where the worker has told them. ``faults`` and ``slowness`` are how the "
-        "worker's own sidecar sees it: percent of failed runs, and tenths of the typical time.",
+        "runs at once, where the worker has reported them. ``faults`` and ``slowness`` are the "
+        "verdict of the worker's own sidecar: percent of failed runs, and tenths of the expected "
+        "latency.",
         "incarnation:u64 sequence:u32 state:u8 node:str tenant:str service:str zone:str "
         "address:str slots:u32 instance:str faults:u8 slowness:u8",
     ),
@@ -133,7 +134,7 @@
     Record(
         28,
         "HeartbeatAnswer",
-        "Answer to a heartbeat that asked for one. ``confirmed`` tells that ``revision`` was the "
+        "Answer to a heartbeat that asked for one. ``confirmed``: ``revision`` was the "
         "newest of the whole group ``age_us`` before the answer was made, by a leader that a "
         "quorum supported at that moment.",
         "asked_us:u64 confirmed:bool age_us:u64 revision:u64",
@@ -148,28 +149,28 @@
     Record(
         38,
         "UsageReport",
-        "A sidecar tells control of requests since its last report.",
+        "A sidecar reports to control the requests since its last report.",
         "usage:[TenantUsage]",
     ),
     Record(
         39,
         "UsageTotals",
-        "One control process tells another what its subscribers have reported: counts since "
-        "``began_us``, the start of the telling process by its monotonic clock, of the tenants "
-        "whose counts have changed. ``nodes`` is how many subscribers it hears now.",
+        "One control process passes on to another what its subscribers have reported: counts "
+        "since ``began_us``, its own start by its monotonic clock, of the tenants whose counts "
+        "have changed. ``nodes`` is the number of subscribers that report to it now.",
         "began_us:u64 nodes:u32 owner:str totals:[TenantUsage]",
     ),
     Record(
         43,
         "TenantShare",
-        "Part of a tenant's requests that a sidecar admits, in thousandths.",
+        "Fraction of a tenant's requests that a sidecar admits, in thousandths.",
         "permille:u16 tenant:str",
     ),
     Record(
         44,
         "TenantShares",
-        "The parts that have changed since the last such record of this connection; ``whole`` "
-        "tells that all others are 1000.",
+        "The fractions that have changed since the last such record of this connection; "
+        "``whole``: all others are 1000.",
         "whole:bool shares:[TenantShare]",
     ),
     Record(
@@ -320,7 +321,7 @@
     Record(
         72,
         "MemberReport",
-        "One control process tells another of the nodes subscribed to it: changed members, "
+        "One control process reports to another the nodes subscribed to it: changed members, "
         "and (node, version in force) of those that changed.",
         "whole:bool owner:str members:[Member] versions:[NodeVersion]",
     ),
@@ -370,7 +371,7 @@
         65,
         "RouteTableCommand",
         "A checked whole route table that an operator puts in force. ``version`` is the "
-        "operator's, ``base`` the one it replaces, ``digest`` tells equal requests; the "
+        "operator's, ``base`` the one it replaces, ``digest`` identifies equal requests; the "
         "``document`` is compressed.",
         "version:u64 base:u64 digest:bytes document:bytes",
     ),
@@ -433,23 +434,23 @@
     Record(
         85,
         "ServiceWork",
-        "Time that slots of a service were held for the sake of one request.",
+        "Time that slots of a service were occupied for the sake of one request.",
         "milliseconds:u32 service:str",
     ),
     Record(
         90,
         "QuarantineEntry",
         "A request that is suspected of ending the workers that run it. ``held_ms`` is how much "
-        "longer it is refused, 0 for one that is only suspected; ``ends`` names the ends of "
-        "workers that speak against it, 8 bytes each; ``cleared`` tells that a worker has run it "
-        "to its end, or that an operator has lifted it.",
+        "longer it is refused, 0 for one that is only suspected; ``ends`` names the crashes of "
+        "workers that are evidence against it, 8 bytes each; ``cleared``: a worker has answered it, "
+        "or an operator has lifted it.",
         "held_ms:u32 cleared:bool service:str ends:bytes identity:bytes",
     ),
     Record(
         91,
         "QuarantineNews",
-        "What a sidecar knows of such requests. ``digest`` is that of all it holds; ``asks`` "
-        "wants the receiver's own entries where its digest differs; ``settled`` tells that the "
+        "What a sidecar knows of such requests. ``digest`` is that of all it quarantines; ``asks`` "
+        "wants the receiver's own entries where its digest differs; ``settled``: the "
         "sender has learnt from others itself, since its start. The receiver passes it on "
         "to the nodes whose names come after its own, up to ``relay_to``; those of ``service``, "
         "or all where it is empty.",
