--- a/src/cranklane/records/schema.py
+++ b/src/cranklane/records/schema.py
@@ -442,8 +442,8 @@
         "QuarantineEntry",
         "A request that is suspected of ending the workers that run it. ``held_ms`` is how much "
         "longer it is refused, 0 for one that is only suspected; ``ends`` names the crashes of "
-        "workers that are evidence against it, 8 bytes each; ``cleared``: a worker has answered it, "
-        "or an operator has lifted it.",
+        "workers that are evidence against it, 8 bytes each; ``cleared``: a worker has answered "
+        "it, or an operator has lifted it.",
         "held_ms:u32 cleared:bool service:str ends:bytes identity:bytes",
     ),
     Record(
