--- a/src/cranklane/common/small_http.py
+++ b/src/cranklane/common/small_http.py
@@ -7,9 +7,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from http import HTTPStatus
-from typing import Any
+from typing import Any, NamedTuple
 
 from cranklane.common.http1.message import (
     HeadTooLargeError,
@@ -36,8 +35,7 @@
 a caller in the same network needs far less."""
 
 
-@dataclass(frozen=True)
-class SmallAnswer:
+class SmallAnswer(NamedTuple):
     """An answer: its status, its body and the body's type."""
 
     status: int = HTTPStatus.OK.value
--- a/src/cranklane/routes/table.py
+++ b/src/cranklane/routes/table.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from cranklane.routes.tenants import Tenant, TenantDirectory
 
@@ -10,8 +11,7 @@
 """Greatest number of a priority: records hold it in a byte."""
 
 
-@dataclass(frozen=True, slots=True)
-class Share:
+class Share(NamedTuple):
     """One destination of a route, and its weight among the route's destinations."""
 
     service: str
@@ -43,8 +43,7 @@
     public: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class ServiceEntry:
+class ServiceEntry(NamedTuple):
     """What a table says of a service.
 
     :ivar max_connections: connections one of its workers accepts from all callers.
--- a/src/cranklane/settings.py
+++ b/src/cranklane/settings.py
@@ -10,9 +10,9 @@
 import re
 import tomllib
 from collections.abc import Callable, Mapping
-from dataclasses import MISSING, Field, dataclass, field, fields
+from dataclasses import MISSING, Field, field, fields
 from pathlib import Path
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 from cranklane.errors import SettingsError
 from cranklane.runtime.interface import parse_address
@@ -21,8 +21,7 @@
 _NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 
 
-@dataclass(frozen=True)
-class Check:
+class Check(NamedTuple):
     """A test of one value.
 
     :ivar expected: what a valid value is, in words.
--- a/src/cranklane/sidecar/admission/isolated_runs.py
+++ b/src/cranklane/sidecar/admission/isolated_runs.py
@@ -11,8 +11,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import Enum, auto
+from typing import NamedTuple
 
 from gevent.event import Event
 
@@ -64,8 +64,7 @@
     return Treatment.ISOLATE if is_sent_here else Treatment.REDIRECT
 
 
-@dataclass(frozen=True, slots=True)
-class SuspectAdmission:
+class SuspectAdmission(NamedTuple):
     """Whether a request may run as far as its past is concerned.
 
     :ivar reason: why it may not, NONE when it may.
--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -19,7 +19,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from result import Err, Ok, Result
 
@@ -35,8 +35,7 @@
 from cranklane.sidecar.table.table_lease import TableLease
 
 
-@dataclass(frozen=True, slots=True)
-class Caller:
+class Caller(NamedTuple):
     """Who sends a request.
 
     :ivar tenant: name of the tenant; empty where the route needs no key.
@@ -49,8 +48,7 @@
     limited: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class IngressRefusal:
+class IngressRefusal(NamedTuple):
     """A request that was refused before it was sent anywhere, and what decided it.
 
     :ivar tenant: whose it is; empty where that is not known.
--- a/src/cranklane/sidecar/quarantine/cleared_requests.py
+++ b/src/cranklane/sidecar/quarantine/cleared_requests.py
@@ -4,7 +4,7 @@
 
 from collections import OrderedDict
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from cranklane.sidecar.quarantine.rules import CLEARED_SECONDS
 from cranklane.sidecar.request.identity import Identity
@@ -13,8 +13,7 @@
 """Cleared requests that are remembered, the newest. A choice: as many as may be quarantined."""
 
 
-@dataclass(frozen=True, slots=True)
-class _Clearing:
+class _Clearing(NamedTuple):
     """A clearing, and the ids of the crashes that were evidence against the request before it."""
 
     crashes: frozenset[bytes]
--- a/src/cranklane/sidecar/request/call_tree.py
+++ b/src/cranklane/sidecar/request/call_tree.py
@@ -11,6 +11,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from cranklane.outcome import Reason
 from cranklane.sidecar.request.slot_work import SlotWork
@@ -38,8 +39,7 @@
     is_retry: bool = False
 
 
-@dataclass(frozen=True, slots=True)
-class CallFailure:
+class CallFailure(NamedTuple):
     """A call that failed, as deep in the tree as it is known.
 
     :ivar service: the service that was called.
--- a/src/cranklane/sidecar/routing/retry_budget.py
+++ b/src/cranklane/sidecar/routing/retry_budget.py
@@ -28,6 +28,7 @@
 from dataclasses import dataclass
 from math import inf
 from random import Random
+from typing import NamedTuple
 
 EARNED_FRACTION = 0.65
 """Fraction of the operator's ratio that each request earns. A window may see the tokens of 1.2
@@ -58,8 +59,7 @@
 """Tokens that a retry costs."""
 
 
-@dataclass(frozen=True)
-class RetryBound:
+class RetryBound(NamedTuple):
     """The operator's bound on retries at each service, over the whole fleet.
 
     :ivar ratio: retries for each request.
@@ -72,8 +72,7 @@
     window: float
 
 
-@dataclass(frozen=True, slots=True)
-class FleetSize:
+class FleetSize(NamedTuple):
     """How many sidecars there are, as one of them knows.
 
     :ivar sidecars: known now, this one included.
--- a/src/cranklane/sidecar/telemetry/request_summary.py
+++ b/src/cranklane/sidecar/telemetry/request_summary.py
@@ -9,10 +9,9 @@
 
 from collections import defaultdict
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import Enum
 from http import HTTPStatus
-from typing import Any
+from typing import Any, NamedTuple
 
 from cranklane.outcome import Outcome, Reason
 from cranklane.sidecar.request.decision import Decision
@@ -39,8 +38,7 @@
     """Its client left before it ended."""
 
 
-@dataclass(frozen=True, slots=True)
-class Cause:
+class Cause(NamedTuple):
     """Why a request was refused or failed.
 
     :ivar service: where it was refused or failed; empty when it was served.
--- a/src/cranklane/sidecar/worker/exit.py
+++ b/src/cranklane/sidecar/worker/exit.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from typing import NamedTuple
 
 from cranklane.records.messages import ForwardRequest
 from cranklane.runtime.interface import Runtime
@@ -20,8 +20,7 @@
 """States in which an exit of the worker is planned."""
 
 
-@dataclass(frozen=True, slots=True)
-class InterruptedRun:
+class InterruptedRun(NamedTuple):
     """A run that was under way when the worker exited.
 
     :ivar seconds: since it began.
@@ -34,8 +33,7 @@
     suspicion_level: int
 
 
-@dataclass(frozen=True, slots=True)
-class WorkerExit:
+class WorkerExit(NamedTuple):
     """The exit of one start of the worker.
 
     :ivar instance: that start.
@@ -48,8 +46,7 @@
     runs: tuple[InterruptedRun, ...]
 
 
-@dataclass(frozen=True, slots=True)
-class _Run:
+class _Run(NamedTuple):
     request: ForwardRequest
     began_at: float
     suspicion_level: int
--- a/src/cranklane/sidecar/worker/probe.py
+++ b/src/cranklane/sidecar/worker/probe.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from http import HTTPStatus
+from typing import NamedTuple
 
 import gevent
 
@@ -30,8 +30,7 @@
 """Numbers in the header that states a worker's load: running, waiting, slots."""
 
 
-@dataclass(frozen=True, slots=True)
-class ProbedWorker:
+class ProbedWorker(NamedTuple):
     """What a healthy worker says of itself.
 
     :ivar instance: names its start.
--- a/src/cranklane/sidecar/worker/registry.py
+++ b/src/cranklane/sidecar/worker/registry.py
@@ -8,9 +8,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from enum import Enum
-from typing import Any
+from typing import Any, NamedTuple
 
 import gevent
 
@@ -67,8 +66,7 @@
 }
 
 
-@dataclass(frozen=True)
-class WorkerHeartbeat:
+class WorkerHeartbeat(NamedTuple):
     """One heartbeat of a worker.
 
     :ivar slots: requests that it can run at once.
