--- a/src/cranklane/replication/applier.py
+++ b/src/cranklane/replication/applier.py
@@ -1,7 +1,7 @@
-"""Applies committed entries to the state machine and snapshots it when the log is large.
+"""Application of committed entries to the state machine, and log compaction.
 
-Owns the state machine's progress (``applied_index``); relies on the log and the commit
-index of :class:`ReplicaState`.
+Owns the apply progress (``applied_index``); log and commit index belong to
+:class:`ReplicaState`.
 """
 
 from __future__ import annotations
@@ -16,34 +16,34 @@
 from cranklane.replication.state_machine import StateMachine
 
 MIN_SNAPSHOT_BYTES = 4 * 1024 * 1024
-"""Size of the log file from which a snapshot replaces it, in bytes. A choice: large enough
-that a snapshot is rare, small enough to be read at start at once."""
+"""Smallest size of a log file that is compacted: snapshots stay rare, and the log is fast to
+read at startup."""
 
 SNAPSHOT_FACTOR = 2
-"""The log grows to at least this many times the last snapshot's size, so that a
-large state is not written again for each small change. A choice."""
+"""Smallest ratio of log size to snapshot size for a compaction, so that a large state is not
+rewritten after few changes."""
 
 
 class Applier:
-    """Drives one replica's state machine.
+    """Applies entries and snapshots to one replica's state machine.
 
-    :param on_apply: called after entries were applied.
+    :param on_apply: called after entries were applied or a snapshot was installed.
     """
 
     def __init__(
         self,
         state: ReplicaState,
-        machine: StateMachine,
+        state_machine: StateMachine,
         proposals: Proposals,
         on_apply: Callable[[], None],
     ) -> None:
         self._state = state
-        self._machine = machine
+        self._state_machine = state_machine
         self._proposals = proposals
         self._on_apply = on_apply
 
     def run(self) -> None:
-        """Apply committed entries in order, for ever."""
+        """Apply committed entries in order; runs until the process ends."""
         state = self._state
         while True:
             state.committed.wait()
@@ -54,16 +54,16 @@
                     break
                 self._apply(entries[0])
             self._on_apply()
-            self._snapshot_when_large()
+            self._compact_if_large()
 
     def _apply(self, entry: LogEntry) -> None:
         answer: Any = None
         if entry.kind == EntryKind.COMMAND:
-            answer = self._machine.apply(entry.data)
+            answer = self._state_machine.apply(entry.data)
         self._state.applied_index = entry.index
-        self._proposals.applied(entry, answer)
+        self._proposals.resolve(entry, answer)
 
-    def _snapshot_when_large(self) -> None:
+    def _compact_if_large(self) -> None:
         state = self._state
         nothing_new = state.applied_index <= state.log.snapshot.index
         if nothing_new or state.log.size < snapshot_threshold(state.log.snapshot_size):
@@ -72,38 +72,41 @@
             with state.changing:
                 self.compact()
         except OSError as error:
-            # The log stays as it is; a later entry tries again.
+            # The log stays usable; the next applied entry retries the compaction.
             state.event_log.error("disk_failed", error=str(error))
 
     def compact(self) -> None:
-        """Replace the applied entries by a snapshot. Needs the lock ``changing``.
+        """Replace the applied entries by a snapshot. The caller holds ``changing``.
 
-        :raises OSError: when the disk refuses the snapshot.
+        :raises OSError: when a write fails.
         """
         self._state.log.compact(self.snapshot())
 
     def snapshot(self) -> LogSnapshot:
-        """Return a snapshot of all that is applied here."""
+        """Return a snapshot of the applied entries.
+
+        :raises InvariantError: when the log has no term for the applied index.
+        """
         state = self._state
         index = state.applied_index
         term = state.log.term_at(index)
         if term is None:
             raise InvariantError(f"the applied entry {index} is neither in log nor snapshot")
-        return LogSnapshot(term, index, state.members.at(index), self._machine.pack())
+        return LogSnapshot(term, index, state.members.members_at(index), self._state_machine.pack())
 
     def restore(self, snapshot: LogSnapshot) -> None:
-        """Replace state and members by a snapshot's and the entries after it."""
+        """Restore the state from a snapshot, and the members from it and the entries after it."""
         state = self._state
-        self._machine.restore(snapshot.state)
+        self._state_machine.restore(snapshot.state)
         state.members.restore(snapshot.index, snapshot.members)
         for entry in state.log.between(snapshot.index + 1, state.log.last_index):
-            state.take_members(entry)
+            state.adopt_members(entry)
         state.commit_index = state.applied_index = snapshot.index
 
     def install(self, snapshot: LogSnapshot) -> None:
-        """Replace log and state by a leader's snapshot. Needs the lock ``changing``.
+        """Replace log and state by a leader's snapshot. The caller holds ``changing``.
 
-        :raises OSError: when the disk refuses the snapshot.
+        :raises OSError: when a write fails.
         """
         self._state.log.compact(snapshot)
         self.restore(snapshot)
@@ -111,8 +114,8 @@
 
 
 def snapshot_threshold(snapshot_bytes: int) -> int:
-    """Return the size of the log file, in bytes, from which a snapshot replaces it.
+    """Return the log file size in bytes that triggers a compaction.
 
-    :param snapshot_bytes: size of the last snapshot.
+    :param snapshot_bytes: size of the last snapshot file.
     """
     return max(MIN_SNAPSHOT_BYTES, SNAPSHOT_FACTOR * snapshot_bytes)
--- a/src/cranklane/replication/election.py
+++ b/src/cranklane/replication/election.py
@@ -1,7 +1,6 @@
-"""Detects that there is no leader and stands for election.
+"""Election timer and candidacies of a replica.
 
-Owns the election timer and the votes of one candidacy; the replica's log, vote and members
-belong to :class:`ReplicaState`, and what follows from a won election to a
+Log, vote and members belong to :class:`ReplicaState`; changes of term and role belong to
 :class:`Candidate`.
 """
 
@@ -15,38 +14,39 @@
 from cranklane.replication.state import ReplicaState
 from cranklane.replication.timing import (
     CAMPAIGN_RETRY_SECONDS,
-    DISK_PAUSE_SECONDS,
+    CANDIDACY_STAGGER_SECONDS,
+    DISK_FAILURE_PAUSE_SECONDS,
     ELECTION_SECONDS,
-    TURN_SECONDS,
     VOTE_SECONDS,
     election_timeout,
 )
 
 
 class Candidate(Protocol):
-    """The replica on whose behalf an election is held."""
+    """Replica operations that an election needs."""
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads, as far as it knows."""
+        """Whether the replica leads its term."""
 
     def begin_term(self) -> bool:
-        """Begin a new term and vote for itself; return False when it leads by now.
+        """Start a new term with a vote for itself; return False when it is already leader.
 
-        :raises OSError: when the disk refuses the vote.
+        :raises OSError: when the vote cannot be written.
         """
 
     def lead(self, term: int) -> None:
-        """Begin to lead a term that a quorum has voted for."""
+        """Become leader of a term won by a quorum of votes."""
 
-    def newer_term_seen(self, term: int) -> None:
-        """Adopt a newer term that a reply has shown."""
+    def on_newer_term(self, term: int) -> None:
+        """Adopt a newer term found in a reply."""
 
 
 class Election:
     """Election timer and candidacies of one replica.
 
-    :ivar lost_leader: the former leader if its disk is known to be lost, else 0.
+    :ivar disk_lost_leader: identity of the former leader if its disk is known to be lost,
+        else 0.
     """
 
     def __init__(self, state: ReplicaState, candidate: Candidate) -> None:
@@ -55,12 +55,12 @@
         self._timer_started_at = 0.0
         self._timeout = 0.0
         self._leased_heartbeat_at: float | None = None
-        self.lost_leader = 0
+        self.disk_lost_leader = 0
 
-    # The timer.
+    # Election timer.
 
     def leased_heartbeat(self) -> None:
-        """Note a heartbeat of a leader that states that it has its lease."""
+        """Record a heartbeat of a leader that has the lease."""
         self._leased_heartbeat_at = self._state.runtime.monotonic()
         self.restart_timer()
 
@@ -71,85 +71,89 @@
         return heartbeat_at is not None and now - heartbeat_at < ELECTION_SECONDS
 
     def restart_timer(self) -> None:
-        """Restart the timer: a heartbeat came, or a vote was given or asked for."""
+        """Restart the timer with a new random timeout."""
         self._timer_started_at = self._state.runtime.monotonic()
         self._timeout = election_timeout(self._state.runtime.random)
 
-    def is_timer_fresh(self) -> bool:
+    def was_timer_reset_recently(self) -> bool:
         """Return whether the timer was restarted within ``ELECTION_SECONDS``."""
         age = self._state.runtime.monotonic() - self._timer_started_at
         return age < ELECTION_SECONDS
 
     def pause(self) -> None:
-        """Leave it to others to stand, for longer than an election takes."""
+        """Restart the timer with ``DISK_FAILURE_PAUSE_SECONDS`` added to the timeout."""
         self.restart_timer()
-        self._timeout += DISK_PAUSE_SECONDS
+        self._timeout += DISK_FAILURE_PAUSE_SECONDS
 
-    # When to stand.
+    # Start of candidacies.
 
-    def watch(self) -> None:
-        """Stand for election whenever the timer has run out, for ever."""
+    def run_timer(self) -> None:
+        """Start a candidacy each time the timer expires; runs until the process ends."""
         while True:
-            left = self._timer_started_at + self._timeout - self._state.runtime.monotonic()
-            if left > 0:
-                gevent.sleep(left)
+            remaining_seconds = (
+                self._timer_started_at + self._timeout - self._state.runtime.monotonic()
+            )
+            if remaining_seconds > 0:
+                gevent.sleep(remaining_seconds)
                 continue
             self.restart_timer()
             if not self._candidate.is_leader and self._state.is_voter:
-                # No leader is there: the timer must not keep this replica from voting.
+                # Without a leader, the restarted timer must not make this replica refuse votes.
                 self._timer_started_at -= ELECTION_SECONDS
-                self._stand()
+                self._try_campaign()
 
     def replace_former_leader(self) -> None:
-        """Stand at once after a restart, if the former leader can have no lease.
+        """Start candidacies right after a restart, if the former leader cannot have a lease.
 
-        That is so when it was this very replica, or when its disk is lost. Tries
-        until another leader may have been found the usual way.
+        This is the case if the former leader is this replica or has lost its disk. Stops
+        after ``ELECTION_SECONDS`` at the latest, when ordinary elections begin.
         """
         state = self._state
         former = state.votes.state.voted_for
         ends_at = state.runtime.monotonic() + ELECTION_SECONDS
         while state.runtime.monotonic() < ends_at:
             if former != state.identity and self._has_lost_its_disk(former):
-                self.lost_leader = former
-                gevent.sleep(TURN_SECONDS * self._turn())
+                self.disk_lost_leader = former
+                gevent.sleep(CANDIDACY_STAGGER_SECONDS * self._candidacy_rank())
             if state.leader or not state.is_voter:
                 return
-            own_or_lost = former in (state.identity, self.lost_leader)
-            if former and own_or_lost and not self._stand():
+            own_or_lost = former in (state.identity, self.disk_lost_leader)
+            if former and own_or_lost and not self._try_campaign():
                 return
             gevent.sleep(CAMPAIGN_RETRY_SECONDS)
 
     def _has_lost_its_disk(self, identity: int) -> bool:
-        """Return whether another replica answers at a member's address now."""
+        """Return whether another identity answers at a member's address."""
         member = self._state.members.find(identity)
         if member is None:
             return False
-        answering = self._state.link(member).identity_now(VOTE_SECONDS)
+        answering = self._state.link(member).probe_identity(VOTE_SECONDS)
         return answering not in (0, identity)
 
-    def _turn(self) -> int:
-        """Return how many other voters stand before this one."""
+    def _candidacy_rank(self) -> int:
+        """Return the number of voters with a lower identity."""
         voters = sorted(member.identity for member in self._state.members.voters())
         return sum(identity < self._state.identity for identity in voters)
 
-    # One candidacy.
+    # Candidacy.
 
-    def _stand(self) -> bool:
-        """Stand for election; return whether this replica's disk took its vote."""
+    def _try_campaign(self) -> bool:
+        """Run a candidacy; return False when this replica's vote could not be written."""
         try:
             self.campaign()
         except OSError as error:
-            # The vote could not be written: others are to stand.
+            # Leave the election to replicas with a working disk.
             self._state.event_log.error("disk_failed", error=str(error))
             self.pause()
             return False
         return True
 
     def campaign(self) -> None:
-        """Ask for a trial vote first, so that a replica cut off disturbs nobody.
+        """Request pre-votes, then votes; become leader with a quorum of both.
 
-        :raises OSError: when the disk refuses the vote.
+        Pre-votes keep a partitioned replica from raising the term of the group.
+
+        :raises OSError: when this replica's vote cannot be written.
         """
         if self._candidate.is_leader or not self._has_won(self._vote_request(trial=True)):
             return
@@ -167,14 +171,16 @@
             state.log.last_index,
             state.log.last_term,
             trial,
-            self.lost_leader,
+            self.disk_lost_leader,
         )
 
     def _has_won(self, request: VoteRequest) -> bool:
-        """Ask the other voters; return whether a quorum grants in time."""
+        """Request votes from the other voters; return whether a quorum grants them in time."""
         state = self._state
-        others = [item for item in state.members.voters() if item.identity != state.identity]
-        tasks = [state.runtime.spawn(self._ask, member, request) for member in others]
+        other_voters = [
+            voter for voter in state.members.voters() if voter.identity != state.identity
+        ]
+        tasks = [state.runtime.spawn(self._ask, member, request) for member in other_voters]
         granted = 1
         for task in gevent.iwait(tasks, timeout=VOTE_SECONDS):
             granted += bool(task.value)
@@ -185,9 +191,9 @@
     def _ask(self, member: ReplicaMember, request: VoteRequest) -> bool:
         link = self._state.link(member)
         reply = link.call(request, VoteReply, VOTE_SECONDS)
-        if reply is None or link.peer != member.identity:
-            # Another identity at the address is not the voter that we know.
+        if reply is None or link.peer_identity != member.identity:
+            # A replica with another identity at the address is not this voter.
             return False
         if reply.term > request.term:
-            self._candidate.newer_term_seen(reply.term)
+            self._candidate.on_newer_term(reply.term)
         return reply.granted
--- a/src/cranklane/replication/join_request.py
+++ b/src/cranklane/replication/join_request.py
@@ -1,4 +1,4 @@
-"""Asks another replica to be admitted to the group."""
+"""Client for join requests."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def ask_to_join(state: ReplicaState, address: str, voter: bool, timeout: float) -> JoinReply | None:
-    """Return a replica's answer to a request to join, or None when none comes in time.
+    """Send a join request; return the reply, or None on a failure or timeout.
 
-    :param address: of the replica that is asked.
-    :param voter: whether the one that asks is to vote.
+    :param address: address of a member of the group.
+    :param voter: whether this replica is to become a voter.
     :param timeout: in seconds.
     """
     own = state.own
--- a/src/cranklane/replication/joining.py
+++ b/src/cranklane/replication/joining.py
@@ -1,7 +1,6 @@
-"""Makes a replica with an empty data folder part of its group, as operators have planned it.
+"""Group formation with replicas and founder from the settings.
 
-Used where an operator names all replicas and the founder; see :mod:`self_assembly` for groups
-that form without one. Relies on the membership changes of the replicas that are asked.
+See :mod:`self_assembly` for groups that form from seed addresses.
 """
 
 from __future__ import annotations
@@ -15,21 +14,21 @@
 from cranklane.replication.replica import Replica
 
 RETRY_SECONDS = 0.5
-"""Mean time between rounds over all replicas, spread by half on either side. A choice."""
+"""Mean delay between rounds of join requests; each delay is within half of it."""
 
 REPLY_SECONDS = 6.0
-"""Wait for an answer. A choice: above ``PROPOSAL_SECONDS``, as the leader answers after the
-change of members is committed."""
+"""Timeout of a join request; above ``PROPOSAL_SECONDS``, because the leader replies after the
+membership change is committed."""
 
 
 class Joining:
-    """Asks the other replicas, and founds the group only when there is none.
+    """Joins the group of the configured replicas, or founds it.
 
-    :param peers: addresses of the other replicas, as the settings name them.
-    :param founder: whether this replica may found the group. It does so only
-        after every other one has answered that it belongs to none, so that a
-        founder whose disk was lost does not found a second group.
-    :param voter: whether it is to vote.
+    :param peers: addresses of the replicas from the settings.
+    :param founder: whether this replica may found the group. It does so only after all other
+        replicas answered that they have no group, so that a founder that lost its disk does
+        not found a second group.
+    :param voter: whether this replica is to become a voter.
     """
 
     def __init__(self, replica: Replica, peers: Sequence[str], founder: bool, voter: bool) -> None:
@@ -39,11 +38,11 @@
         self._voter = voter
 
     def run(self) -> None:
-        """Return once the replica is a member of its group."""
+        """Retry until this replica is a member of its group."""
         replica = self._replica
         waiting = False
         while not replica.is_member:
-            if self._ask_all():
+            if self._ask_replicas():
                 break
             if not waiting:
                 waiting = True
@@ -51,21 +50,21 @@
             gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
         replica.event_log.info("joined_group", group=replica.own.group, name=replica.own.name)
 
-    def _ask_all(self) -> bool:
-        """Ask each replica once; return whether this one belongs to the group now."""
+    def _ask_replicas(self) -> bool:
+        """Send join requests to all replicas; return whether this replica is a member."""
         without_group = 0
         addresses = list(self._peers)
-        asked: set[str] = set()
+        asked_addresses: set[str] = set()
         while addresses:
             address = addresses.pop(0)
-            asked.add(address)
+            asked_addresses.add(address)
             reply = ask_to_join(self._replica, address, self._voter, REPLY_SECONDS)
             if reply is None:
                 continue
             if reply.status == JoinStatus.NO_GROUP:
                 without_group += 1
             elif reply.status == JoinStatus.NOT_LEADER and reply.leader:
-                if reply.leader not in asked:
+                if reply.leader not in asked_addresses:
                     addresses.insert(0, reply.leader)
             elif reply.status == JoinStatus.ACCEPTED:
                 return self._replica.is_member
--- a/src/cranklane/replication/leadership.py
+++ b/src/cranklane/replication/leadership.py
@@ -1,7 +1,7 @@
-"""Replicates the log while a replica leads: one task for each other replica.
+"""Log replication by the leader, with one task for each other replica.
 
-Owns what each replica has on disk and when it last answered, and with them what is
-committed and whether the lease holds; log and members belong to :class:`ReplicaState`.
+Owns each replica's durable index and last reply, from which it derives the commit index and the
+lease. Log and members belong to :class:`ReplicaState`.
 """
 
 from __future__ import annotations
@@ -29,19 +29,18 @@
 )
 
 MAX_BATCH_ENTRIES = 256
-"""Entries in one request. A choice: a replica that is far behind takes few round trips, and
-a heartbeat does not wait long behind a batch."""
+"""Most entries in one request; bounds how long a heartbeat waits behind a batch."""
 
 CHUNK_BYTES = 256 * 1024
-"""Bytes of a snapshot in one request. A choice, as for a batch."""
+"""Most snapshot bytes in one request."""
 
 
 class Leadership:
-    """One term's leadership.
+    """Leadership of one term.
 
-    :param on_newer_term: called with a newer term that a reply has shown.
-    :ivar term: the term that is led.
-    :ivar matched: newest entry that is durable at each replica, by identity.
+    :param on_newer_term: called with a newer term found in a reply.
+    :ivar term: the term of this leadership.
+    :ivar matched: index of the newest durable entry by replica identity.
     """
 
     def __init__(
@@ -50,29 +49,29 @@
         self._state = state
         self._on_newer_term = on_newer_term
         self.term = term
-        self._began_at = state.runtime.monotonic()
+        self._started_at = state.runtime.monotonic()
         self.matched: dict[int, int] = {}
-        self._answered_at: dict[int, float] = {}
-        self._followed: set[int] = set()
+        self._answered_request_sent_at: dict[int, float] = {}
+        self._replicating_to: set[int] = set()
         self._wakeups: dict[int, Event] = {}
-        self._first_index = state.log.last_index + 1
+        self._term_start_index = state.log.last_index + 1
         self._ended = False
 
     def age(self) -> float:
-        """Return the seconds since it began."""
-        return self._state.runtime.monotonic() - self._began_at
+        """Return the seconds since this leadership started."""
+        return self._state.runtime.monotonic() - self._started_at
 
     def start(self) -> None:
-        """Start the tasks."""
+        """Start the replication tasks."""
         self._start_replicating()
 
     def end(self) -> None:
-        """Let the tasks end."""
+        """Stop the replication tasks."""
         self._ended = True
         self.wake()
 
     def wake(self) -> None:
-        """Let the tasks send what is new."""
+        """Wake the tasks to send new entries, and start tasks for new members."""
         self._start_replicating()
         for wakeup in self._wakeups.values():
             wakeup.set()
@@ -82,8 +81,8 @@
             return
         state = self._state
         for member in state.members.current:
-            if member.identity not in self._followed and member.identity != state.identity:
-                self._followed.add(member.identity)
+            if member.identity not in self._replicating_to and member.identity != state.identity:
+                self._replicating_to.add(member.identity)
                 self._wakeups[member.identity] = Event()
                 state.runtime.spawn(self._replicate, member)
 
@@ -93,7 +92,7 @@
         return self._state.members.find(member.identity) is not None
 
     def _replicate(self, member: ReplicaMember) -> None:
-        """Bring one replica up to date and keep it there."""
+        """Send entries or snapshots to one replica while it is a member."""
         state = self._state
         link = state.link(member)
         wakeup = self._wakeups[member.identity]
@@ -110,10 +109,13 @@
             next_index = sent
             if next_index > state.log.last_index:
                 wakeup.wait(HEARTBEAT_SECONDS)
-        self._followed.discard(member.identity)
+        self._replicating_to.discard(member.identity)
 
     def _append_request(self, next_index: int) -> AppendRequest | None:
-        """Return the request with the entries from an index on, or None without the one before."""
+        """Return the request with entries from ``next_index`` on.
+
+        :returns: None when the entry before ``next_index`` is compacted.
+        """
         state = self._state
         previous_term = state.log.term_at(next_index - 1)
         if previous_term is None:
@@ -131,28 +133,28 @@
     def _send_entries(
         self, link: ReplicaLink, member: ReplicaMember, next_index: int
     ) -> int | None:
-        """Send entries; return the next index to send, or None without a reply."""
+        """Send entries; return the next index to send, or None without a valid reply."""
         request = self._append_request(next_index)
         if request is None:
-            # A snapshot has replaced that entry: it is sent next.
+            # The entry is compacted: this index makes the task send the snapshot next.
             return self._state.log.snapshot.index
         sent_at = self._state.runtime.monotonic()
         reply = link.call(request, AppendReply, REPLY_SECONDS)
-        if reply is None or not self._is_from(link, member, reply.term):
+        if reply is None or not self._is_valid_reply(link, member, reply.term):
             return None
-        self._answered_at[member.identity] = sent_at
+        self._answered_request_sent_at[member.identity] = sent_at
         if not reply.success:
             return max(1, min(next_index - 1, reply.last + 1))
         self.matched[member.identity] = reply.match
         self._commit()
         return reply.match + 1
 
-    def _is_from(self, link: ReplicaLink, member: ReplicaMember, term: int) -> bool:
-        """Return whether the reply came from the replica that we know, in this term."""
+    def _is_valid_reply(self, link: ReplicaLink, member: ReplicaMember, term: int) -> bool:
+        """Return whether a reply is from this member and not from a newer term."""
         if term > self.term:
             self._on_newer_term(term)
             return False
-        return link.peer == member.identity
+        return link.peer_identity == member.identity
 
     def _send_snapshot(self, link: ReplicaLink, member: ReplicaMember) -> int | None:
         """Send the snapshot; return the next index to send, or None on failure."""
@@ -161,27 +163,27 @@
         data = snapshot.pack()
         offset = 0
         while offset < len(data):
-            piece = data[offset : offset + CHUNK_BYTES]
+            chunk_data = data[offset : offset + CHUNK_BYTES]
             chunk = SnapshotChunk(
-                self.term, state.identity, snapshot.index, offset, len(data), piece
+                self.term, state.identity, snapshot.index, offset, len(data), chunk_data
             )
             sent_at = state.runtime.monotonic()
             reply = link.call(chunk, SnapshotReply, SNAPSHOT_REPLY_SECONDS)
-            if reply is None or not self._is_from(link, member, reply.term):
+            if reply is None or not self._is_valid_reply(link, member, reply.term):
                 return None
-            self._answered_at[member.identity] = sent_at
-            if reply.received != offset + len(piece):
+            self._answered_request_sent_at[member.identity] = sent_at
+            if reply.received != offset + len(chunk_data):
                 return None
             offset = reply.received
         return snapshot.index + 1
 
-    def own_durable(self, index: int) -> None:
-        """Record that the leader's own log is durable up to an index."""
+    def record_local_sync(self, index: int) -> None:
+        """Record that the leader's log is durable up to an index."""
         self.matched[self._state.identity] = index
         self._commit()
 
     def _commit(self) -> None:
-        """Commit what a quorum of voters has on disk, in this term."""
+        """Commit entries of this term that are durable at a quorum of voters."""
         state = self._state
         if self._ended:
             return
@@ -198,13 +200,16 @@
             self.wake()
 
     def has_lease(self) -> bool:
-        """Return whether no other leader can exist, and all is applied that was committed."""
+        """Return whether a quorum answered within ``LEASE_SECONDS``.
+
+        There is no lease before the first entry of the term is applied: only then does the
+        applied state include all entries of earlier terms.
+        """
         state = self._state
-        if self._ended or state.applied_index < self._first_index:
+        if self._ended or state.applied_index < self._term_start_index:
             return False
         answered = sum(
-            member.identity == state.identity
-            or self.answered_within(member.identity, LEASE_SECONDS)
+            member.identity == state.identity or self.replied_within(member.identity, LEASE_SECONDS)
             for member in state.members.voters()
         )
         return answered >= state.members.quorum()
@@ -212,13 +217,13 @@
     @property
     def has_committed(self) -> bool:
         """Whether an entry of this term is committed."""
-        return self._state.commit_index >= self._first_index
+        return self._state.commit_index >= self._term_start_index
 
-    def answered_within(self, identity: int, seconds: float) -> bool:
-        """Return whether a replica answered a request sent within the last seconds."""
-        sent_at = self._answered_at.get(identity)
+    def replied_within(self, identity: int, seconds: float) -> bool:
+        """Return whether a replica answered a request sent in the last ``seconds``."""
+        sent_at = self._answered_request_sent_at.get(identity)
         return sent_at is not None and self._state.runtime.monotonic() - sent_at < seconds
 
     def caught_up(self, identity: int) -> bool:
-        """Return whether a replica has all that is committed."""
+        """Return whether a replica has all committed entries on disk."""
         return self.matched.get(identity, 0) >= self._state.commit_index
--- a/src/cranklane/replication/link.py
+++ b/src/cranklane/replication/link.py
@@ -1,6 +1,6 @@
-"""Requests from one replica to another, one at a time on one connection.
+"""Client connection from one replica to another, with one request at a time.
 
-Owns that connection. A request has a reply or none in time; the caller decides when to retry.
+Owns the connection. The caller decides whether and when to retry a request without a reply.
 """
 
 from __future__ import annotations
@@ -15,85 +15,90 @@
 from cranklane.runtime.interface import Runtime, parse_address
 
 CONNECT_SECONDS = 1.0
-"""Longest wait for a connection, if the request allows as much. A choice."""
+"""Connect timeout, limited by the timeout of the request."""
 
 _Reply = TypeVar("_Reply")
 
 
 class ReplicaLink:
-    """A connection to one replica, opened again after each failure.
+    """Connection to the replica at an address, reopened after each failure.
 
-    A reply that does not come in time ends the connection, so that it can never
-    be taken for the reply to a later request.
+    A timeout closes the connection, so that a late reply cannot be mistaken for the
+    reply to a later request.
 
-    :ivar peer: the identity that answered last; 0 when none has.
+    :ivar peer_identity: identity of the replica that answered last, 0 for none.
     """
 
-    def __init__(self, runtime: Runtime, address: str, own: ReplicaHello) -> None:
+    def __init__(self, runtime: Runtime, address: str, local_hello: ReplicaHello) -> None:
         self._runtime = runtime
         self._address = parse_address(address)
-        self._own = own
+        self._local_hello = local_hello
         self._records: RecordConnection | None = None
-        self._busy = Semaphore()
-        self.peer = 0
+        self._call_lock = Semaphore()
+        self.peer_identity = 0
 
     def call(self, request: Message, kind: type[_Reply], timeout: float) -> _Reply | None:
-        """Return the reply, or None when there is none in time.
+        """Send a request and return the reply, or None on a failure or timeout.
+
+        Requests between replicas are idempotent. A request that fails within half its timeout
+        on a reused connection, which the peer may have closed, is sent a second time.
 
         :param kind: type of the reply.
         :param timeout: in seconds.
-
-        Requests between replicas may be sent twice. One that fails at once on a
-        kept connection, which the far end has closed meanwhile, goes out again.
         """
-        with self._busy:
+        with self._call_lock:
             started = self._runtime.monotonic()
-            kept = self._records is not None
-            reply = self._try(request, kind, timeout)
+            was_open = self._records is not None
+            reply = self._call_once(request, kind, timeout)
             waited = self._runtime.monotonic() - started
-            if reply is None and kept and waited < timeout / 2:
-                reply = self._try(request, kind, timeout - waited)
+            if reply is None and was_open and waited < timeout / 2:
+                reply = self._call_once(request, kind, timeout - waited)
             return reply
 
-    def identity_now(self, timeout: float) -> int:
-        """Return who answers on a connection opened now; 0 when nobody does."""
-        with self._busy:
-            self._drop()
+    def probe_identity(self, timeout: float) -> int:
+        """Return the peer's identity from a new connection, 0 when the peer does not answer.
+
+        :param timeout: in seconds.
+        """
+        with self._call_lock:
+            self._disconnect()
             try:
                 self._connected(timeout)
             except (OSError, ConnectionLostError, MalformedRecordError):
-                # Nobody answers; who asks looks again.
-                self._drop()
+                # The caller treats an unreachable peer as unknown and may probe again.
+                self._disconnect()
                 return 0
-            return self.peer
+            return self.peer_identity
 
-    def _try(self, request: Message, kind: type[_Reply], timeout: float) -> _Reply | None:
+    def _call_once(self, request: Message, kind: type[_Reply], timeout: float) -> _Reply | None:
         try:
             records = self._connected(timeout)
             records.send(request)
             return records.expect(kind)
         except (OSError, ConnectionLostError, MalformedRecordError):
-            # No reply; the leader's silence checks count these, and the caller retries.
-            self._drop()
+            # The caller retries; the leader detects replicas that stay silent.
+            self._disconnect()
             return None
 
     def _connected(self, timeout: float) -> RecordConnection:
         if self._records is None:
             connection = self._runtime.connect(self._address, min(CONNECT_SECONDS, timeout))
             self._records = RecordConnection(connection, timeout)
-            self._records.send(self._own)
+            self._records.send(self._local_hello)
             hello = self._records.expect(ReplicaHello)
-            if hello.group != self._own.group:
-                raise MalformedRecordError(f"group {hello.group}, not {self._own.group}")
-            self.peer = hello.identity
+            if hello.group != self._local_hello.group:
+                raise MalformedRecordError(
+                    f"found group {hello.group}, expected {self._local_hello.group}"
+                )
+            self.peer_identity = hello.identity
         self._records.set_silent_after(timeout)
         return self._records
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._records is not None:
             self._records.close()
             self._records = None
 
     def close(self) -> None:
-        """Close the connection; a waiting call ends without a reply."""
-        self._drop()
+        """Close the connection; a call in progress returns None."""
+        self._disconnect()
--- a/src/cranklane/replication/log.py
+++ b/src/cranklane/replication/log.py
@@ -1,8 +1,8 @@
-"""Durable log of entries, with a snapshot that replaces the oldest ones.
+"""Durable log of entries, with a snapshot that replaces the oldest entries.
 
-Owns two files: ``log`` holds frames (:mod:`log_frames`), ``snapshot`` a checksum and a
-LogSnapshot. Entries after the snapshot are also in memory. A torn tail is cut at start; damage
-to acknowledged entries is refused.
+Owns two files: ``log`` contains frames (:mod:`log_frames`), ``snapshot`` a checksum and a
+LogSnapshot. Entries after the snapshot are also kept in memory. Opening the log truncates a
+torn tail and raises an error for corrupted acknowledged entries.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from cranklane.common.checksummed import add_checksum, verified_payload
 from cranklane.errors import DamagedLogError
 from cranklane.records.messages import LogEntry, LogSnapshot
-from cranklane.replication.log_frames import encode_frame, read_frame, synced_after
+from cranklane.replication.log_frames import encode_frame, find_later_synced_offset, read_frame
 from cranklane.runtime.interface import Storage
 
 LOG_FILE = "log"
@@ -20,26 +20,28 @@
 
 
 class Log:
-    """Entries after the snapshot, in memory and on disk.
+    """Snapshot and the entries after it, in memory and on disk.
 
     :ivar snapshot: the newest snapshot; index 0 when there is none.
-    :ivar snapshot_size: bytes of its file.
+    :ivar snapshot_size: size of the snapshot file in bytes.
     """
 
     def __init__(self, storage: Storage) -> None:
         self._storage = storage
         self._entries: list[LogEntry] = []
         self._size = 0
-        self._synced = 0
-        self._half_written = False
+        self._synced_size = 0
+        self._has_partial_append = False
         self.snapshot_size = 0
-        self._syncing = Semaphore()
+        self._sync_lock = Semaphore()
         self.snapshot = LogSnapshot()
 
     def open(self) -> int:
-        """Read snapshot and log; return the bytes cut off a torn tail.
+        """Read snapshot and log, and truncate a torn tail.
 
-        :raises DamagedLogError: when acknowledged entries cannot be read.
+        :returns: number of bytes truncated.
+        :raises DamagedLogError: when the snapshot or acknowledged entries are corrupted or
+            entries are missing.
         """
         self._read_snapshot()
         data = self._storage.read(LOG_FILE) or b""
@@ -49,25 +51,25 @@
             if frame is None:
                 break
             position = frame.end
-            self._keep(frame.entry)
+            self._add_entry(frame.entry)
         torn = len(data) - position
         if torn:
-            self._refuse_damage(data, position)
+            self._raise_if_damaged(data, position)
             self._storage.truncate(LOG_FILE, position)
-        self._size = self._synced = position
+        self._size = self._synced_size = position
         return torn
 
-    def _keep(self, entry: LogEntry) -> None:
+    def _add_entry(self, entry: LogEntry) -> None:
         if entry.index <= self.snapshot.index:
             return
-        # A later frame of an index replaces all from there on: a follower's
-        # conflicting tail is overwritten by appending, never in place.
+        # A later frame with the same index replaces that entry and all after it: a follower
+        # overrides a conflicting tail by appending, never in place.
         while self._entries and self._entries[-1].index >= entry.index:
             self._entries.pop()
         if entry.index != self.last_index + 1:
             raise DamagedLogError(
-                f"entry {entry.index} follows {self.last_index}: entries are missing; restore "
-                "this replica with an empty data folder so that it rejoins as a new one"
+                f"found entry {entry.index} after entry {self.last_index}; entries are missing; "
+                "restore this replica with an empty data folder so that it rejoins as a new one"
             )
         self._entries.append(entry)
 
@@ -78,40 +80,40 @@
         payload = verified_payload(data)
         if payload is None:
             raise DamagedLogError(
-                "the snapshot is damaged; restore this replica with an empty data folder so "
+                "the snapshot file is corrupted; restore this replica with an empty data folder so "
                 "that it rejoins as a new one, or from a back-up when it is the only one"
             )
         self.snapshot = LogSnapshot.unpack(payload)
         self.snapshot_size = len(data)
 
     @staticmethod
-    def _refuse_damage(data: bytes, position: int) -> None:
-        """Raise unless what follows a bad frame is a torn tail."""
-        synced = synced_after(data, position)
-        if synced is not None:
+    def _raise_if_damaged(data: bytes, position: int) -> None:
+        """Raise DamagedLogError unless the invalid frame at ``position`` starts a torn tail."""
+        synced_offset = find_later_synced_offset(data, position)
+        if synced_offset is not None:
             raise DamagedLogError(
-                f"the log is damaged at byte {position} although it was synced up to "
-                f"{synced}; restore this replica with an empty data folder so that it "
+                f"the log is corrupted at byte {position}, below the synced offset "
+                f"{synced_offset}; restore this replica with an empty data folder so that it "
                 "rejoins as a new one, or from a back-up when it is the only one"
             )
 
     @property
     def last_index(self) -> int:
-        """Index of the newest entry."""
+        """Index of the newest entry, or of the snapshot when there is no later entry."""
         return self._entries[-1].index if self._entries else self.snapshot.index
 
     @property
     def last_term(self) -> int:
-        """Term of the newest entry."""
+        """Term of the newest entry, or of the snapshot when there is no later entry."""
         return self._entries[-1].term if self._entries else self.snapshot.term
 
     @property
     def size(self) -> int:
-        """Bytes of the log file."""
+        """Size of the log file in bytes."""
         return self._size
 
     def term_at(self, index: int) -> int | None:
-        """Return an entry's term, or None when it is not held."""
+        """Return the term of an entry, or None when it is compacted or not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
         position = index - self.snapshot.index - 1
@@ -120,59 +122,59 @@
         return None
 
     def between(self, first: int, last: int) -> list[LogEntry]:
-        """Return the entries from ``first`` to ``last``, both included."""
+        """Return the entries with indexes from ``first`` to ``last``, inclusive."""
         base = self.snapshot.index + 1
         return self._entries[max(0, first - base) : max(0, last - base + 1)]
 
     def append(self, entries: list[LogEntry]) -> None:
-        """Write entries at the end; durable only after :meth:`sync`.
+        """Append entries; they are durable only after :meth:`sync`.
 
-        :raises OSError: when the disk refuses them; none of them counts then.
+        :raises OSError: when the write fails; none of the entries is in the log then.
         """
-        frames = b"".join(encode_frame(entry, self._synced) for entry in entries)
-        if self._half_written:
-            # What was written of refused frames must not stand before later ones.
+        frames = b"".join(encode_frame(entry, self._synced_size) for entry in entries)
+        if self._has_partial_append:
+            # Remove the partial frames of a failed append before new frames are written.
             self._storage.truncate(LOG_FILE, self._size)
-            self._half_written = False
+            self._has_partial_append = False
         try:
             self._storage.append(LOG_FILE, frames)
         except OSError:
-            self._half_written = True
+            self._has_partial_append = True
             raise
         self._size += len(frames)
         for entry in entries:
-            self._keep(entry)
+            self._add_entry(entry)
 
     def sync(self) -> int:
-        """Make the log durable; return the index that is durable now.
+        """Make the log durable and return the index of the newest durable entry.
 
-        :raises OSError: when the disk refuses it.
+        :raises OSError: when the sync fails.
         """
-        with self._syncing:
+        with self._sync_lock:
             size, index = self._size, self.last_index
             self._storage.sync(LOG_FILE)
-            self._synced = max(self._synced, size)
+            self._synced_size = max(self._synced_size, size)
             return index
 
     def compact(self, snapshot: LogSnapshot) -> None:
-        """Replace the entries up to the snapshot's by the snapshot.
+        """Replace the entries that a snapshot covers by the snapshot.
 
-        Nothing may be appended meanwhile.
+        The caller must prevent concurrent appends.
 
-        :raises OSError: when the disk refuses it.
+        :raises OSError: when a write fails.
         """
-        with self._syncing:
+        with self._sync_lock:
             self._compact(snapshot)
 
     def _compact(self, snapshot: LogSnapshot) -> None:
-        kept = self.between(snapshot.index + 1, self.last_index)
+        retained = self.between(snapshot.index + 1, self.last_index)
         if snapshot.index > self.last_index or self.term_at(snapshot.index) != snapshot.term:
-            kept = []
-        sealed = add_checksum(snapshot.pack())
-        self._storage.replace(SNAPSHOT_FILE, sealed)
+            retained = []
+        snapshot_file = add_checksum(snapshot.pack())
+        self._storage.replace(SNAPSHOT_FILE, snapshot_file)
         self.snapshot = snapshot
-        self.snapshot_size = len(sealed)
-        self._entries = kept
-        data = b"".join(encode_frame(entry, 0) for entry in kept)
+        self.snapshot_size = len(snapshot_file)
+        self._entries = retained
+        data = b"".join(encode_frame(entry, 0) for entry in retained)
         self._storage.replace(LOG_FILE, data)
-        self._size = self._synced = len(data)
+        self._size = self._synced_size = len(data)
--- a/src/cranklane/replication/log_frames.py
+++ b/src/cranklane/replication/log_frames.py
@@ -1,8 +1,8 @@
 """Frames of the log file: magic, payload length, checksum, synced offset and a LogEntry.
 
-The synced offset is the file offset that was known to be synced when the frame was written. It
-tells a torn tail from damage: bytes after the last sync may be lost in a crash; a bad frame
-below an offset that a later frame states as synced means that acknowledged entries are damaged.
+The synced offset is the file offset up to which the log was synced when the frame was written.
+It distinguishes a torn tail from corruption: a crash may lose bytes after the last sync, but an
+invalid frame below the synced offset of a later frame is a corrupted acknowledged entry.
 """
 
 from __future__ import annotations
@@ -20,52 +20,55 @@
 
 @dataclass(frozen=True, slots=True)
 class LogFrame:
-    """One frame as read.
+    """A decoded frame.
 
-    :ivar synced: offset that was synced when it was written.
-    :ivar end: offset of the next frame.
+    :ivar synced_offset: offset up to which the log was synced before this frame.
+    :ivar end: file offset of the next frame.
     """
 
     entry: LogEntry
-    synced: int
+    synced_offset: int
     end: int
 
 
-def encode_frame(entry: LogEntry, synced: int) -> bytes:
-    """Return an entry's frame."""
+def encode_frame(entry: LogEntry, synced_offset: int) -> bytes:
+    """Return the encoded frame of an entry."""
     payload = entry.pack()
-    return _HEADER.pack(_MAGIC, len(payload), _checksum(payload, synced), synced) + payload
+    return (
+        _HEADER.pack(_MAGIC, len(payload), _checksum(payload, synced_offset), synced_offset)
+        + payload
+    )
 
 
 def read_frame(data: bytes, position: int) -> LogFrame | None:
-    """Return the frame at an offset, or None when it is torn or damaged."""
+    """Return the frame at a file offset, or None when it is incomplete or corrupted."""
     start = position + _HEADER.size
     if start > len(data):
         return None
-    magic, size, checksum, synced = _HEADER.unpack_from(data, position)
+    magic, size, checksum, synced_offset = _HEADER.unpack_from(data, position)
     payload = data[start : start + size]
-    if magic != _MAGIC or len(payload) != size or _checksum(payload, synced) != checksum:
+    if magic != _MAGIC or len(payload) != size or _checksum(payload, synced_offset) != checksum:
         return None
     try:
-        return LogFrame(LogEntry.unpack(payload), synced, start + size)
+        return LogFrame(LogEntry.unpack(payload), synced_offset, start + size)
     except MalformedRecordError:
-        # As a wrong checksum: the caller decides between a torn tail and damage.
+        # Treated like a wrong checksum: the caller distinguishes a torn tail from corruption.
         return None
 
 
-def synced_after(data: bytes, position: int) -> int | None:
-    """Return an offset above ``position`` that a later frame states as synced, or None.
+def find_later_synced_offset(data: bytes, position: int) -> int | None:
+    """Return the first synced offset above ``position`` in later frames, or None.
 
-    :param position: offset of a bad frame.
+    :param position: file offset of an invalid frame.
     """
     following = data.find(_MAGIC, position + 1)
     while following >= 0:
         frame = read_frame(data, following)
-        if frame is not None and frame.synced > position:
-            return frame.synced
+        if frame is not None and frame.synced_offset > position:
+            return frame.synced_offset
         following = data.find(_MAGIC, following + 1)
     return None
 
 
-def _checksum(payload: bytes, synced: int) -> int:
-    return zlib.crc32(payload, zlib.crc32(synced.to_bytes(8, "big")))
+def _checksum(payload: bytes, synced_offset: int) -> int:
+    return zlib.crc32(payload, zlib.crc32(synced_offset.to_bytes(8, "big")))
--- a/src/cranklane/replication/members.py
+++ b/src/cranklane/replication/members.py
@@ -1,7 +1,6 @@
-"""The replicas of a group as the newest entry of its log states them.
+"""Membership of a group, from the MEMBERS entries of its log.
 
-Owns the sets of replicas by entry; relies on the log's owner to report each entry that is
-appended, replaced or restored.
+The log's owner must report each entry that is appended, replaced or restored.
 """
 
 from __future__ import annotations
@@ -10,7 +9,7 @@
 
 
 def quorum_of(voters: int) -> int:
-    """Return how many of so many voters decide: more than half.
+    """Return the size of a majority of ``voters`` voters.
 
     >>> [quorum_of(voters) for voters in (1, 2, 3, 4, 5)]
     [1, 2, 2, 3, 3]
@@ -19,11 +18,10 @@
 
 
 class Members:
-    """Sets of replicas by the index of the entry that states them.
+    """Member sets by the index of the log entry that defines them.
 
-    A set is in force as soon as its entry is in the log, committed or not. Sets
-    follow each other by one replica at a time, so any two neighbouring sets have
-    a quorum in common.
+    A set takes effect when its entry is appended, before it is committed. Consecutive
+    sets differ by one replica, so that their quorums overlap.
     """
 
     def __init__(self) -> None:
@@ -31,49 +29,49 @@
 
     @property
     def current(self) -> list[ReplicaMember]:
-        """The replicas now."""
+        """The newest member set."""
         return self._sets[-1][1]
 
     @property
     def index(self) -> int:
-        """Index of the entry that states them."""
+        """Index of the entry that defines the newest set."""
         return self._sets[-1][0]
 
     def voters(self) -> list[ReplicaMember]:
-        """Return the replicas that vote."""
+        """Return the voters of the newest set."""
         return [member for member in self.current if member.voter]
 
     def quorum(self) -> int:
-        """Return how many voters decide."""
+        """Return the quorum size of the newest set."""
         return quorum_of(len(self.voters()))
 
     def find(self, identity: int) -> ReplicaMember | None:
-        """Return the replica of an identity, or None."""
+        """Return the member with an identity, or None."""
         return next((item for item in self.current if item.identity == identity), None)
 
-    def named(self, name: str) -> ReplicaMember | None:
-        """Return the replica of a name, or None."""
+    def find_by_name(self, name: str) -> ReplicaMember | None:
+        """Return the member with a name, or None."""
         return next((item for item in self.current if item.name == name), None)
 
     def is_voter(self, identity: int) -> bool:
-        """Return whether an identity votes."""
+        """Return whether the member with an identity is a voter."""
         member = self.find(identity)
         return member is not None and member.voter
 
-    def stated(self, index: int, data: bytes) -> None:
-        """Adopt the set that an entry states."""
-        self.cut(index)
+    def adopt(self, index: int, data: bytes) -> None:
+        """Adopt the set that an entry at ``index`` defines."""
+        self.remove_from(index)
         self._sets.append((index, ReplicaSet.unpack(data).members))
 
-    def cut(self, index: int) -> None:
-        """Forget what entries from ``index`` on state: they were replaced."""
+    def remove_from(self, index: int) -> None:
+        """Remove the sets of replaced entries, those from ``index`` on."""
         while len(self._sets) > 1 and self._sets[-1][0] >= index:
             self._sets.pop()
 
     def restore(self, index: int, members: list[ReplicaMember]) -> None:
-        """Start from a snapshot's set."""
+        """Replace all sets by the set of a snapshot."""
         self._sets = [(index, members)]
 
-    def at(self, index: int) -> list[ReplicaMember]:
-        """Return the replicas as stated up to an index."""
-        return next((members for stated, members in reversed(self._sets) if stated <= index), [])
+    def members_at(self, index: int) -> list[ReplicaMember]:
+        """Return the member set in effect at an index."""
+        return next((members for entry, members in reversed(self._sets) if entry <= index), [])
--- a/src/cranklane/replication/peer_service.py
+++ b/src/cranklane/replication/peer_service.py
@@ -1,7 +1,7 @@
-"""Answers the requests of the other replicas of a group.
+"""Server for the requests of other replicas of the group.
 
-Owns the pieces of a snapshot on its way; all else belongs to the replica. Nothing is promised
-before it is on disk.
+Owns the received chunks of an incomplete snapshot; all other state belongs to the replica.
+Votes and entries are synced to disk before they are acknowledged.
 """
 
 from __future__ import annotations
@@ -32,20 +32,20 @@
 
 
 class PeerService:
-    """The answering side of a replica.
+    """Serves requests of other replicas.
 
-    :param join: answers a replica that asks to become part of the group.
+    :param join: answers join requests.
     """
 
     def __init__(self, replica: Replica, join: Callable[[JoinRequest], JoinReply]) -> None:
         self._replica = replica
         self._join = join
-        self._incoming = b""
+        self._snapshot_data = b""
 
     def serve(self, records: RecordConnection, hello: ReplicaHello) -> None:
-        """Answer one replica's requests until its connection ends.
+        """Serve the requests of one replica until its connection closes.
 
-        :param hello: its first record.
+        :param hello: the greeting that the replica sent.
         """
         try:
             records.send(self._replica.hello())
@@ -55,10 +55,10 @@
                 _, message = records.receive()
                 records.send(self._answer(message))
         except (ConnectionLostError, MalformedRecordError):
-            # The asker opens another connection; who is silent its leader finds out.
+            # The peer reconnects; the leader detects a replica that stays silent.
             return
         except OSError as error:
-            # The disk refused what would have been promised; the asker gets no answer.
+            # Without a durable write there is no reply; the peer times out and retries.
             self._replica.event_log.error("disk_failed", error=str(error))
         finally:
             records.close()
@@ -75,10 +75,10 @@
                 return self._confirm(message)
             case JoinRequest():
                 return self._join(message)
-        raise MalformedRecordError(f"{type(message).__name__} from a replica")
+        raise MalformedRecordError(f"{type(message).__name__} from a replica is not a request")
 
     def _confirm(self, request: ConfirmRequest) -> ConfirmReply:
-        """Answer whether this replica leads for certain, and what is committed then."""
+        """Return whether this replica has the leader lease, and its commit index."""
         replica = self._replica
         leads = request.term <= replica.term and replica.may_read
         return ConfirmReply(replica.term, leads, replica.commit_index)
@@ -89,9 +89,9 @@
             if voting.may_support_a_lease(self._voter(), request):
                 return VoteReply(replica.term, False)
             if request.trial:
-                return VoteReply(replica.term, voting.grants_trial(self._voter(), request))
-            replica.take_term(request.term)
-            granted = voting.grants(self._voter(), request)
+                return VoteReply(replica.term, voting.grants_pre_vote(self._voter(), request))
+            replica.adopt_term(request.term)
+            granted = voting.grants_vote(self._voter(), request)
             if granted:
                 replica.votes.save(replica.term, request.candidate)
                 replica.election.restart_timer()
@@ -105,7 +105,7 @@
             last_term=replica.log.last_term,
             last_index=replica.log.last_index,
             leads=replica.is_leader,
-            timer_fresh=replica.election.is_timer_fresh(),
+            timer_fresh=replica.election.was_timer_reset_recently(),
         )
 
     def _append(self, request: AppendRequest) -> AppendReply:
@@ -114,7 +114,7 @@
             if request.term < replica.term:
                 return AppendReply(replica.term, False, 0, replica.log.last_index)
             replica.follow(request.term, request.leader, request.leased)
-            if not self._matches(request):
+            if not self._has_previous_entry(request):
                 return AppendReply(replica.term, False, 0, replica.log.last_index)
             new = [entry for entry in request.entries if self._is_new(entry)]
             if new:
@@ -126,16 +126,18 @@
     def _append_new(self, entries: list[LogEntry]) -> None:
         replica = self._replica
         if entries[0].index <= replica.commit_index:
-            raise InvariantError(f"a leader would replace the committed entry {entries[0].index}")
+            raise InvariantError(
+                f"a leader tried to replace the committed entry {entries[0].index}"
+            )
         replica.log.append(entries)
         for entry in entries:
-            replica.take_members(entry)
+            replica.adopt_members(entry)
         replica.log.sync()
 
-    def _matches(self, request: AppendRequest) -> bool:
+    def _has_previous_entry(self, request: AppendRequest) -> bool:
         log = self._replica.log
         if request.previous_index < log.snapshot.index:
-            # All up to the snapshot is committed, so it is the leader's too.
+            # Entries up to the snapshot are committed, so the leader has the same ones.
             return True
         return log.term_at(request.previous_index) == request.previous_term
 
@@ -152,14 +154,14 @@
                 return SnapshotReply(replica.term, 0)
             replica.follow(chunk.term, chunk.leader, leased=False)
             if chunk.offset == 0:
-                self._incoming = b""
-            if chunk.offset != len(self._incoming):
-                return SnapshotReply(replica.term, len(self._incoming))
-            self._incoming += chunk.data
-            received = len(self._incoming)
+                self._snapshot_data = b""
+            if chunk.offset != len(self._snapshot_data):
+                return SnapshotReply(replica.term, len(self._snapshot_data))
+            self._snapshot_data += chunk.data
+            received = len(self._snapshot_data)
             if received == chunk.total:
-                self._install(LogSnapshot.unpack(self._incoming))
-                self._incoming = b""
+                self._install(LogSnapshot.unpack(self._snapshot_data))
+                self._snapshot_data = b""
             return SnapshotReply(replica.term, received)
 
     def _install(self, snapshot: LogSnapshot) -> None:
--- a/src/cranklane/replication/port.py
+++ b/src/cranklane/replication/port.py
@@ -1,7 +1,6 @@
-"""The port that a replica shares with what it serves to nodes.
+"""Dispatch of connections on the port that replicas and nodes share.
 
-Owns the choice by a connection's first record; the connection then belongs to the service that
-serves it.
+The first record of a connection selects the service, which then owns the connection.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
 
 
 class ReplicaPort:
-    """Serves each connection by what its first record says.
+    """Dispatches each accepted connection by its first record.
 
-    :param peers: serves other replicas.
-    :param hello: returns the greeting for all others.
-    :param serve: serves one of the others after the greetings.
-    :param silent_after: seconds without a byte after which a peer counts as lost.
+    :param peers: serves connections of other replicas.
+    :param hello: returns the greeting to other clients.
+    :param serve: serves another client's connection after the greetings.
+    :param silent_after: seconds without received bytes after which a connection is lost.
     """
 
     def __init__(
@@ -38,7 +37,7 @@
         self._silent_after = silent_after
 
     def accept(self, connection: Any, _address: Address) -> None:
-        """Serve a connection until it ends."""
+        """Serve an accepted connection until it closes."""
         records = RecordConnection(connection, self._silent_after)
         try:
             _, first = records.receive()
@@ -46,9 +45,11 @@
                 self._peers.serve(records, first)
                 return
             if not isinstance(first, Hello):
-                raise MalformedRecordError(f"{type(first).__name__} as the first record")
+                raise MalformedRecordError(
+                    f"{type(first).__name__} as the first record; expected ReplicaHello or Hello"
+                )
             records.welcome(first, self._hello())
             self._serve(records)
         except (ConnectionLostError, MalformedRecordError):
-            # The peer opens another connection.
+            # The peer reconnects.
             records.close()
--- a/src/cranklane/replication/proposals.py
+++ b/src/cranklane/replication/proposals.py
@@ -1,7 +1,4 @@
-"""Proposals of a leader that wait until their entries are applied.
-
-Owns which proposal waits for which entry; knows nothing of the log.
-"""
+"""Pending proposals of a leader, by the index of their log entries."""
 
 from __future__ import annotations
 
@@ -16,24 +13,26 @@
 from cranklane.records.messages import LogEntry
 
 PROPOSAL_SECONDS = 5.0
-"""Seconds a proposal waits until its entry is applied. A choice: above the time of an
-election, so that a proposal outlives a short loss of the quorum."""
+"""Timeout of a proposal; longer than an election, so that a proposal survives a short loss of
+the quorum."""
 
 
 class ProposalFailure(Enum):
-    """Why a proposal has no answer."""
+    """Reason why a proposal has no answer."""
 
     NOT_LEADER = "not_leader"
-    """It was not written anywhere."""
+    """The proposal was not written to the log."""
     UNKNOWN = "unknown"
-    """It may be committed or not."""
+    """The proposal may have been committed."""
 
 
 @dataclass(frozen=True, eq=False, slots=True)
 class Proposal:
-    """One waiting proposal.
+    """A pending proposal.
 
-    :ivar term: of the leadership that wrote its entry.
+    :ivar index: index of its log entry.
+    :ivar term: term of its log entry.
+    :ivar answer: result of the proposal, once resolved.
     """
 
     index: int
@@ -42,18 +41,18 @@
 
 
 class Proposals:
-    """The waiting proposals, by the index of their entries."""
+    """Pending proposals of one replica."""
 
     def __init__(self) -> None:
         self._waiting: dict[int, Proposal] = {}
 
     def add(self, index: int, term: int) -> Proposal:
-        """Register a proposal whose entry is in the log."""
+        """Register a proposal whose entry was appended to the log."""
         proposal = self._waiting[index] = Proposal(index, term)
         return proposal
 
     def wait(self, proposal: Proposal) -> Result[Any, ProposalFailure]:
-        """Return the answer to a proposal, or UNKNOWN after ``PROPOSAL_SECONDS``."""
+        """Wait for a proposal; the result is UNKNOWN after ``PROPOSAL_SECONDS``."""
         try:
             return proposal.answer.get(timeout=PROPOSAL_SECONDS)
         except gevent.Timeout:
@@ -62,10 +61,10 @@
             if self._waiting.get(proposal.index) is proposal:
                 del self._waiting[proposal.index]
 
-    def applied(self, entry: LogEntry, answer: Any) -> None:
-        """Answer the proposal that waits for an entry.
+    def resolve(self, entry: LogEntry, answer: Any) -> None:
+        """Resolve the proposal at the index of an applied entry.
 
-        An entry of another term has replaced the proposal's own.
+        The result is UNKNOWN when the entry has another term: it replaced the proposal's entry.
         """
         proposal = self._waiting.get(entry.index)
         if proposal is not None:
@@ -73,7 +72,7 @@
             proposal.answer.set(Ok(answer) if same else Err(ProposalFailure.UNKNOWN))
 
     def abandon(self) -> None:
-        """Answer all waiting proposals with UNKNOWN: their leadership is over."""
+        """Resolve all pending proposals as UNKNOWN when their leadership ends."""
         for proposal in self._waiting.values():
             proposal.answer.set(Err(ProposalFailure.UNKNOWN))
         self._waiting.clear()
--- a/src/cranklane/replication/replica.py
+++ b/src/cranklane/replication/replica.py
@@ -1,12 +1,12 @@
-"""One replica of a group: starts its tasks, takes proposals, and changes term and role.
+"""One replica of a group: starts its tasks, accepts proposals, and changes term and role.
 
-The protocol is Raft (Ongaro and Ousterhout, USENIX ATC 2014) with trial votes,
-learners, one change of members at a time, and a leader lease for reads. Each
-connection and each peer has a task of its own.
+The protocol is Raft (Ongaro and Ousterhout, USENIX ATC 2014) with pre-votes, learners,
+single-member changes, and a leader lease for reads. Each connection and each peer is served by
+a separate task.
 
-Owns which leadership is in force. The log, vote and members belong to
-:class:`ReplicaState`, waiting proposals to :class:`Proposals`, the state machine's progress
-to :class:`Applier`, the election timer to :class:`Election`.
+Owns the current leadership. Log, vote and members belong to :class:`ReplicaState`, pending
+proposals to :class:`Proposals`, apply progress to :class:`Applier`, and the election timer to
+:class:`Election`.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 class Replica(ReplicaState):
     """One replica of one group.
 
-    :param on_apply: called after entries were applied.
-    :param event_log: for changes of state.
-    :ivar leadership: set while this replica leads.
+    :param on_apply: called after entries were applied or a snapshot was installed.
+    :param event_log: logger of role and membership changes and disk errors.
+    :ivar leadership: the current leadership, None while this replica does not lead.
     """
 
     def __init__(
         self,
         runtime: Runtime,
         storage: Storage,
-        machine: StateMachine,
+        state_machine: StateMachine,
         own: ReplicaIdentity,
         on_apply: Callable[[], None],
         event_log: Any,
@@ -48,30 +48,31 @@
         self.leadership: Leadership | None = None
         self.election = Election(state=self, candidate=self)
         self._proposals = Proposals()
-        self._applier = Applier(self, machine, self._proposals, on_apply)
-        self._unsynced = Event()
+        self._applier = Applier(self, state_machine, self._proposals, on_apply)
+        self._sync_requested = Event()
 
     @property
     def is_leader(self) -> bool:
-        """Whether it leads, as far as it knows."""
+        """Whether this replica leads its term; without a lease it may have been replaced."""
         return self.leadership is not None
 
     @property
     def may_read(self) -> bool:
-        """Whether it leads for certain and has applied all that was acknowledged."""
+        """Whether this replica has the leader lease, so that its applied state is current."""
         return self.leadership is not None and self.leadership.has_lease()
 
     @property
     def in_touch(self) -> bool:
-        """Whether it leads for certain, or had a recent heartbeat of a leader that did."""
+        """Whether this replica has the lease or got a recent heartbeat of a leader that has it."""
         return self.may_read or (not self.is_leader and self.election.has_leased_leader())
 
-    # Start.
+    # Startup.
 
     def open(self) -> None:
-        """Come back to what is on disk, and start the replica's tasks.
+        """Restore the state from disk and start the replica's tasks.
 
-        :raises DamagedLogError: when what is on disk cannot be trusted.
+        :raises DamagedLogError: when log, snapshot or vote file are corrupted or missing.
+        :raises OSError: when the disk cannot be read or written.
         """
         torn = self.log.open()
         if torn:
@@ -80,23 +81,23 @@
         self.votes.open(self.runtime.random, has_log)
         self._applier.restore(self.log.snapshot)
         self.election.restart_timer()
-        for task in (self._applier.run, self._sync, self.election.watch):
+        for task in (self._applier.run, self._sync_appended_entries, self.election.run_timer):
             self.runtime.spawn(task)
-        self._stand_when_alone()
+        self._campaign_if_sole_voter()
         if self.members.quorum() > 1:
             self.runtime.spawn(self.election.replace_former_leader)
 
-    def _stand_when_alone(self) -> None:
-        """Stand at once when there is no other voter to wait for."""
+    def _campaign_if_sole_voter(self) -> None:
+        """Start a candidacy immediately when this replica alone is a quorum."""
         if self.is_voter and self.members.quorum() == 1:
             self.runtime.spawn(self.election.campaign)
 
     def found_group(self) -> None:
-        """Found a group of this one replica.
+        """Create a group with this replica as its only member.
 
-        Its data folder must be empty, or hold a back-up and nothing else.
+        The data folder must be empty or contain only a restored back-up.
 
-        :raises OSError: when the disk refuses the entry.
+        :raises OSError: when a write fails.
         """
         term = max(1, self.log.last_term)
         self.votes.save(term, self.identity)
@@ -106,15 +107,15 @@
         entry = LogEntry(term, self.log.last_index + 1, EntryKind.MEMBERS, data)
         self.log.append([entry])
         self.log.sync()
-        self.take_members(entry)
-        self._stand_when_alone()
+        self.adopt_members(entry)
+        self._campaign_if_sole_voter()
 
     # Proposals.
 
     def propose(
         self, command: bytes, kind: EntryKind = EntryKind.COMMAND
     ) -> Result[Any, ProposalFailure]:
-        """Commit a command, apply it and return its answer."""
+        """Append an entry and wait until it is committed and applied; return its answer."""
         leadership = self.leadership
         if leadership is None:
             return Err(ProposalFailure.NOT_LEADER)
@@ -122,37 +123,37 @@
             if self.leadership is not leadership:
                 return Err(ProposalFailure.NOT_LEADER)
             try:
-                index = self._append_own(leadership, kind, command)
+                index = self._append_local(leadership, kind, command)
             except OSError as error:
-                self._disk_failed(error)
+                self._handle_disk_failure(error)
                 return Err(ProposalFailure.NOT_LEADER)
             proposal = self._proposals.add(index, leadership.term)
-        self._unsynced.set()
+        self._sync_requested.set()
         leadership.wake()
         return self._proposals.wait(proposal)
 
-    def _append_own(self, leadership: Leadership, kind: EntryKind, data: bytes) -> int:
+    def _append_local(self, leadership: Leadership, kind: EntryKind, data: bytes) -> int:
         entry = LogEntry(leadership.term, self.log.last_index + 1, kind, data)
         self.log.append([entry])
-        self.take_members(entry)
+        self.adopt_members(entry)
         return entry.index
 
-    def _sync(self) -> None:
-        """Make the leader's own entries durable, many at once, for ever."""
+    def _sync_appended_entries(self) -> None:
+        """Sync entries that the leader appended, in batches; runs until the process ends."""
         while True:
-            self._unsynced.wait()
-            self._unsynced.clear()
+            self._sync_requested.wait()
+            self._sync_requested.clear()
             leadership = self.leadership
             try:
                 durable = self.log.sync()
             except OSError as error:
-                self._disk_failed(error)
+                self._handle_disk_failure(error)
                 continue
             if leadership is not None and self.leadership is leadership:
-                leadership.own_durable(durable)
+                leadership.record_local_sync(durable)
 
-    def _disk_failed(self, error: OSError) -> None:
-        """Leave the leadership to a replica whose disk takes writes."""
+    def _handle_disk_failure(self, error: OSError) -> None:
+        """Step down and delay candidacy, so that a replica with a working disk leads."""
         self.event_log.error("disk_failed", error=str(error))
         self.election.pause()
         self.step_down()
@@ -160,49 +161,49 @@
     # Snapshots.
 
     def snapshot(self) -> LogSnapshot:
-        """Return a snapshot of all that is applied here."""
+        """Return a snapshot of the applied entries."""
         return self._applier.snapshot()
 
     def compact(self) -> None:
-        """Replace the applied entries by a snapshot. Needs the lock ``changing``.
+        """Replace the applied entries by a snapshot. The caller holds ``changing``.
 
-        :raises OSError: when the disk refuses the snapshot.
+        :raises OSError: when a write fails.
         """
         self._applier.compact()
 
     def install(self, snapshot: LogSnapshot) -> None:
-        """Replace log and state by a leader's snapshot. Needs the lock ``changing``.
+        """Replace log and state by a leader's snapshot. The caller holds ``changing``.
 
-        :raises OSError: when the disk refuses the snapshot.
+        :raises OSError: when a write fails.
         """
         self._applier.install(snapshot)
 
     # Terms.
 
-    def take_term(self, term: int) -> None:
-        """Adopt a newer term; a leader of an older one steps down. Needs the lock.
+    def adopt_term(self, term: int) -> None:
+        """Adopt a term if it is newer, and step down. The caller holds ``changing``.
 
-        :raises OSError: when the disk refuses the term.
+        :raises OSError: when the term cannot be written.
         """
         if term > self.term:
             self.votes.save(term, 0)
             self.leader = 0
             self.step_down()
 
-    def newer_term_seen(self, term: int) -> None:
-        """Adopt a newer term that a reply has shown."""
+    def on_newer_term(self, term: int) -> None:
+        """Adopt a newer term found in a reply."""
         try:
             with self.changing:
-                self.take_term(term)
+                self.adopt_term(term)
         except OSError as error:
-            self._disk_failed(error)
+            self._handle_disk_failure(error)
 
     def begin_term(self) -> bool:
-        """Begin a new term and vote for itself; return False when it leads by now.
+        """Start a new term with a vote for itself; return False when it is already leader.
 
-        The term of a leader must stay that of its leadership.
+        The check under the lock keeps a leader's term equal to that of its leadership.
 
-        :raises OSError: when the disk refuses the vote.
+        :raises OSError: when the vote cannot be written.
         """
         with self.changing:
             if self.leadership is not None:
@@ -214,14 +215,14 @@
     # Roles.
 
     def follow(self, term: int, leader: int, leased: bool) -> None:
-        """Follow a replica that leads a term. Needs the lock.
+        """Follow the leader of a term. The caller holds ``changing``.
 
-        :param leased: whether it states that it has its lease.
-        :raises OSError: when the disk refuses the vote.
+        :param leased: whether the leader reports that it has the lease.
+        :raises OSError: when the vote cannot be written.
         """
-        self.take_term(term)
+        self.adopt_term(term)
         if self.votes.state.voted_for != leader:
-            # Whoever leads has the term for good; see PeerService on its lease.
+            # A term has one leader; voting.may_support_a_lease relies on this record.
             self.votes.save(term, leader)
         if self.leader != leader:
             self.leader = leader
@@ -231,24 +232,24 @@
             self.election.leased_heartbeat()
 
     def lead(self, term: int) -> None:
-        """Begin to lead a term that a quorum has voted for."""
+        """Become leader of a term won by a quorum of votes, unless the term has changed."""
         with self.changing:
             if self.term != term or self.leadership is not None:
                 return
-            leadership = Leadership(self, term, self.newer_term_seen)
+            leadership = Leadership(self, term, self.on_newer_term)
             try:
-                self._append_own(leadership, EntryKind.TERM_START, b"")
+                self._append_local(leadership, EntryKind.TERM_START, b"")
             except OSError as error:
-                self._disk_failed(error)
+                self._handle_disk_failure(error)
                 return
             self.leader = self.identity
             self.leadership = leadership
         self.event_log.info("leading", group=self.own.group, term=term)
-        self._unsynced.set()
+        self._sync_requested.set()
         leadership.start()
 
     def step_down(self) -> None:
-        """Stop leading; the outcome of proposals under way is unknown."""
+        """Stop leading; the outcome of pending proposals becomes unknown."""
         if self.leadership is None:
             return
         self.event_log.warning("leadership_lost", group=self.own.group, term=self.term)
--- a/src/cranklane/replication/self_assembly.py
+++ b/src/cranklane/replication/self_assembly.py
@@ -1,12 +1,10 @@
-"""How the replicas of a group find each other without an operator.
+"""Group formation from seed addresses, without an operator.
 
-All start from the same few seed addresses. One of the seeds, the same for all,
-founds the group on the first start of the whole system; every other replica asks
-to join. A replica without a leader for a while asks again: it may have
-been replaced while it was away.
+All replicas have the same seeds. On the first start of the system, the lowest seed address
+founds the group; all other replicas request to join. A replica that loses its leader requests
+to join again, because it may have been replaced meanwhile.
 
-Owns only when the replica was last in touch with a leader; relies on the membership changes
-of the replicas that are asked.
+Owns the time of the last contact with a leader.
 """
 
 from __future__ import annotations
@@ -20,21 +18,21 @@
 from cranklane.replication.replica import Replica
 
 RETRY_SECONDS = 0.25
-"""Mean time between rounds over all addresses, spread by half on either side. A choice."""
+"""Mean delay between rounds of join requests; each delay is within half of it."""
 
 REPLY_SECONDS = 2.0
-"""Wait for an answer. A choice: a machine without power does not hold up a round for long."""
+"""Timeout of a join request; bounds the delay by an unreachable machine."""
 
-OUT_OF_TOUCH_SECONDS = 2.5
-"""Time without a leader after which a replica asks whether it still belongs. A choice: above
-the longest election timeout (2 s), so that an ordinary election asks nobody."""
+LEADER_CONTACT_TIMEOUT_SECONDS = 2.5
+"""Time without contact to a leader after which a replica requests to join again. Above the
+longest election timeout, so that an ordinary election causes no join requests."""
 
 
 class SelfAssembly:
-    """Founds, joins and rejoins a group.
+    """Founds, joins and rejoins the group of one replica.
 
-    :param seeds: returns addresses of replicas, as the settings name them now.
-    :param first_start: whether the whole system starts for the first time.
+    :param seeds: returns the seed addresses from the current settings.
+    :param first_start: whether this is the first start of the whole system.
     """
 
     def __init__(
@@ -46,48 +44,48 @@
         self._in_touch_at = replica.runtime.monotonic()
 
     def run(self) -> None:
-        """Keep the replica in its group, for ever."""
+        """Found the group or keep this replica in it; runs until the process ends."""
         replica = self._replica
         if self._is_founder():
             replica.found_group()
             replica.event_log.info("group_founded", group=replica.own.group)
         while True:
-            if not self._belongs():
-                self._ask_all()
+            if not self._is_connected_member():
+                self._ask_replicas()
             gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
 
     def _is_founder(self) -> bool:
         """Return whether this replica founds the group.
 
-        On a first start every disk is empty and all have the same seeds, so
-        exactly one replica does. A disk that was lost later makes no founder.
+        On the first start all disks are empty and the seeds are equal, so exactly one replica
+        founds the group. On a later start an empty disk is a lost one and founds none.
         """
         replica = self._replica
         seeds = self._seeds()
         empty = replica.log.last_index == 0 and not replica.is_member
         return self._first_start and empty and bool(seeds) and min(seeds) == replica.own.address
 
-    def _belongs(self) -> bool:
-        """Return whether it is a member that was in touch with a leader lately."""
+    def _is_connected_member(self) -> bool:
+        """Return whether this replica is a member with recent contact to a leader."""
         replica = self._replica
         now = replica.runtime.monotonic()
         if replica.in_touch:
             self._in_touch_at = now
-        return replica.is_member and now - self._in_touch_at < OUT_OF_TOUCH_SECONDS
+        return replica.is_member and now - self._in_touch_at < LEADER_CONTACT_TIMEOUT_SECONDS
 
-    def _ask_all(self) -> None:
-        """Ask each known address once, in random order, until one accepts this replica."""
+    def _ask_replicas(self) -> None:
+        """Send join requests to members and seeds in random order until one accepts."""
         replica = self._replica
-        known = [member.address for member in replica.members.current]
-        addresses = list(dict.fromkeys([*known, *self._seeds()]))
+        member_addresses = [member.address for member in replica.members.current]
+        addresses = list(dict.fromkeys([*member_addresses, *self._seeds()]))
         addresses = [address for address in addresses if address != replica.own.address]
         replica.runtime.random.shuffle(addresses)
-        asked: set[str] = set()
+        asked_addresses: set[str] = set()
         while addresses:
             address = addresses.pop(0)
-            if address in asked:
+            if address in asked_addresses:
                 continue
-            asked.add(address)
+            asked_addresses.add(address)
             reply = ask_to_join(replica, address, voter=True, timeout=REPLY_SECONDS)
             if reply is None:
                 continue
--- a/src/cranklane/replication/state.py
+++ b/src/cranklane/replication/state.py
@@ -1,7 +1,7 @@
-"""What a replica holds: its log, vote and members, and how far entries are committed.
+"""State of a replica: log, vote, members, and commit and apply progress.
 
-Election, leadership and the application of entries read it and change it through its
-methods. Who leads, and the tasks that drive it, belong to :mod:`replica`.
+Shared by :mod:`election`, :mod:`leadership` and :mod:`applier`. The replica's role and the tasks
+that drive it belong to :mod:`replica`.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry of the log is."""
+    """Kind of a log entry."""
 
     TERM_START = 0
     COMMAND = 1
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True)
 class ReplicaIdentity:
-    """Who a replica is.
+    """Group, name and addresses of a replica, from its settings.
 
-    :ivar address: where other replicas reach it.
-    :ivar http: where operators reach its process.
+    :ivar address: address for other replicas.
+    :ivar http: address of the operator API of its process.
     """
 
     group: str
@@ -46,12 +46,12 @@
 class ReplicaState:
     """State of one replica of one group.
 
-    :param event_log: for changes of state.
-    :ivar leader: identity of the leader of the newest term, 0 when not known.
-    :ivar commit_index: newest entry known to be committed.
-    :ivar applied_index: newest entry applied.
-    :ivar committed: set when entries have been committed that are not applied yet.
-    :ivar changing: held while log, vote or term change.
+    :param event_log: logger of role and membership changes and disk errors.
+    :ivar leader: identity of the leader in the current term, 0 when unknown.
+    :ivar commit_index: index of the newest entry known to be committed.
+    :ivar applied_index: index of the newest applied entry.
+    :ivar committed: set when there are committed entries to apply.
+    :ivar changing: lock for changes of log, vote and term.
     """
 
     def __init__(
@@ -72,54 +72,57 @@
 
     @property
     def term(self) -> int:
-        """The newest term known."""
+        """Current term of this replica."""
         return self.votes.state.term
 
     @property
     def identity(self) -> int:
-        """Identity of the data folder."""
+        """Random identity stored in the data folder; an emptied folder gets a new one."""
         return self.votes.state.identity
 
     @property
     def is_member(self) -> bool:
-        """Whether it belongs to a group."""
+        """Whether this replica is a member of its group."""
         return self.members.find(self.identity) is not None
 
     @property
     def is_voter(self) -> bool:
-        """Whether it votes."""
+        """Whether this replica is a voter."""
         return self.members.is_voter(self.identity)
 
     def members_suffice(self, voters: int) -> bool:
-        """Return whether the group has at least so many voters in a committed entry."""
-        settled = self.members.index <= self.commit_index
-        return settled and len(self.members.voters()) >= voters
+        """Return whether a committed entry gives the group at least this number of voters."""
+        is_committed = self.members.index <= self.commit_index
+        return is_committed and len(self.members.voters()) >= voters
 
     def leader_member(self) -> ReplicaMember | None:
-        """Return the leader, or None when it is not known."""
+        """Return the leader's member entry, or None when the leader is unknown."""
         return self.members.find(self.leader) if self.leader else None
 
     def hello(self) -> ReplicaHello:
-        """Return its greeting to other replicas."""
+        """Return the greeting to other replicas."""
         return ReplicaHello(self.identity, self.own.group, self.own.name)
 
     def link(self, member: ReplicaMember) -> ReplicaLink:
-        """Return the link to a replica's address."""
+        """Return the link to a member's address, created on first use."""
         link = self._links.get(member.address)
         if link is None:
             link = ReplicaLink(self.runtime, member.address, self.hello())
             self._links[member.address] = link
         return link
 
-    def take_members(self, entry: LogEntry) -> None:
-        """Adopt the members that an entry states that is now in the log."""
+    def adopt_members(self, entry: LogEntry) -> None:
+        """Update the members for an entry that was appended to the log.
+
+        An entry of another kind removes member sets of the entries it replaced.
+        """
         if entry.kind == EntryKind.MEMBERS:
-            self.members.stated(entry.index, entry.data)
+            self.members.adopt(entry.index, entry.data)
         else:
-            self.members.cut(entry.index)
+            self.members.remove_from(entry.index)
 
     def commit(self, index: int) -> None:
-        """Mark entries up to ``index`` as committed."""
+        """Advance the commit index to ``index``, at most to the end of the log."""
         index = min(index, self.log.last_index)
         if index > self.commit_index:
             self.commit_index = index
--- a/src/cranklane/replication/state_machine.py
+++ b/src/cranklane/replication/state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine that a replicated log drives, as its store implements it."""
+"""Interface of the state machine that a replicated log drives."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class StateMachine(Protocol):
-    """State that changes only by applying committed commands in order.
+    """Deterministic state machine, changed only by applying committed commands in order.
 
-    Applying must depend on nothing but the state and the command, so that every
-    replica comes to the same state.
+    The result of a command must depend only on the state and the command, so that all
+    replicas reach the same state.
     """
 
     def apply(self, command: bytes) -> Any:
         """Apply a committed command and return its answer."""
 
     def pack(self) -> bytes:
-        """Return the whole state for a snapshot."""
+        """Return the encoded state for a snapshot."""
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot's; empty bytes are the first state."""
+        """Replace the state by that of a snapshot; empty bytes are the initial state."""
--- a/src/cranklane/replication/timing.py
+++ b/src/cranklane/replication/timing.py
@@ -1,7 +1,7 @@
-"""Times of elections, leases and replication, in seconds, and the rules that tie them.
+"""Timeouts and intervals of elections, leases and replication, in seconds.
 
-All of them count on a steady clock that includes suspensions of the machine. None needs
-clocks of different machines to agree; a lease needs their rates to differ by less than half.
+All count on a monotonic clock that includes machine suspensions. Clocks of different
+machines need not agree, but a lease is safe only while their rates differ by less than half.
 """
 
 from __future__ import annotations
@@ -9,46 +9,46 @@
 from random import Random
 
 ELECTION_SECONDS = 1.0
-"""Shortest time without a leader's heartbeat after which a replica stands for election; until
-then it votes for nobody else. A choice: five heartbeats, so that one slow reply
-(``REPLY_SECONDS``) does not end a leadership."""
+"""Shortest election timeout. A replica that heard from its leader within this time grants no
+vote to another candidate. Longer than ``REPLY_SECONDS``, so that one slow reply does not end
+a leadership."""
 
 LEASE_SECONDS = 0.6
-"""Age of a quorum's replies up to which a leader is certainly the only one. A choice: 1.5
-times it is below ``ELECTION_SECONDS``, which bounds how far clock rates may differ; a shorter
-lease would be lost by frozen leaders and slow disks."""
+"""Duration of a leader lease, counted from requests that a quorum answered. 1.5 times the lease
+is below ``ELECTION_SECONDS``, which bounds the tolerated difference between clock rates."""
 
 HEARTBEAT_SECONDS = 0.2
-"""Between requests to a replica that has everything. A choice: three in a lease."""
+"""Interval of requests to a replica that is up to date; three fit into a lease."""
 
 REPLY_SECONDS = 0.8
-"""Wait for the reply to entries or a heartbeat. A choice: below ``ELECTION_SECONDS``."""
+"""Timeout of an append request or heartbeat; below ``ELECTION_SECONDS``."""
 
 SNAPSHOT_REPLY_SECONDS = 5.0
-"""Wait for the reply to a chunk of a snapshot. A choice: the last chunk is answered after
-the whole snapshot is on disk."""
+"""Timeout of a snapshot chunk. The reply to the last chunk follows the write of the whole
+snapshot to disk."""
 
 REPLICATION_RETRY_SECONDS = 0.2
-"""Before a replica that gave no reply is tried again. A choice: as heartbeats."""
+"""Delay before a request to a replica that did not reply is retried."""
 
 VOTE_SECONDS = 0.5
-"""Wait for a vote. A choice: below the time by which election timeouts are spread."""
+"""Timeout of a vote request; below the range over which election timeouts are spread."""
 
-DISK_PAUSE_SECONDS = 4.0
-"""Time for which a replica whose disk failed leaves elections to the others. A choice: two
-of the longest election timeouts, so that another one leads meanwhile."""
+DISK_FAILURE_PAUSE_SECONDS = 4.0
+"""Addition to the election timeout of a replica whose disk failed: two of the longest election
+timeouts, so that another replica is elected first."""
 
 CAMPAIGN_RETRY_SECONDS = 0.1
-"""Between attempts to replace a former leader right after a restart. A choice."""
+"""Delay between candidacies of a restarted replica that replaces the former leader."""
 
-TURN_SECONDS = 0.1
-"""Offset between replicas that would replace a lost leader, by the order of their
-identities, so that they do not split the votes. A choice."""
+CANDIDACY_STAGGER_SECONDS = 0.1
+"""Delay between candidacies of replicas that replace a leader with a lost disk. The delays
+follow the order of identities, so that candidacies do not split the votes."""
 
 
 def election_timeout(random: Random) -> float:
-    """Return the time without a heartbeat after which to stand for election, in seconds.
+    """Return a random election timeout in seconds.
 
-    Spread over once to twice ``ELECTION_SECONDS``, so that rarely two stand at once.
+    Timeouts are spread from ``ELECTION_SECONDS`` to twice that, so that simultaneous
+    candidacies are rare.
     """
     return ELECTION_SECONDS * (1 + random.random())
--- a/src/cranklane/replication/vote_file.py
+++ b/src/cranklane/replication/vote_file.py
@@ -1,6 +1,7 @@
-"""The term, the vote and the identity of a replica, on disk.
+"""Durable term, vote and identity of a replica.
 
-Owns one file. A replica must never vote twice in a term, so it is synced before it is in force.
+Owns one file. The file is synced before a new term or vote takes effect, so that a restarted
+replica never votes twice in a term.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 VOTE_FILE = "vote"
 _IDENTITY_BITS = 63
-"""Random bits of an identity: enough that two replicas never draw the same one."""
+"""Random bits of an identity; enough to make collisions negligible."""
 
 
 class VoteFile:
-    """What a replica must never forget.
+    """File with the term, vote and identity of one replica.
 
-    :ivar state: the term, this replica's identity, and in ``voted_for`` who leads the
-        term, once that is known, or else who got this replica's vote in it.
+    :ivar state: term, identity and ``voted_for``: the leader of the term, once known, or
+        else the candidate that got this replica's vote.
     """
 
     def __init__(self, storage: Storage) -> None:
@@ -29,16 +30,17 @@
         self.state = VoteState()
 
     def open(self, random: Random, has_log: bool) -> None:
-        """Read the file; an empty data folder becomes a replica of its own.
+        """Read the file, or create it with a new identity in an empty data folder.
 
-        :param has_log: whether the folder holds a log or a snapshot.
-        :raises DamagedLogError: when the file is damaged, or missing beside a log.
+        :param has_log: whether the folder contains a log or a snapshot.
+        :raises DamagedLogError: when the file is corrupted, or missing although there is a log.
+        :raises OSError: when the file cannot be written.
         """
         data = self._storage.read(VOTE_FILE)
         if data is None:
             if has_log:
                 raise DamagedLogError(
-                    "the vote file is missing beside a log: this replica may have voted; "
+                    "found a log but no vote file: this replica may have voted; "
                     "empty the data folder so that it rejoins as a new one"
                 )
             self._write(VoteState(identity=random.getrandbits(_IDENTITY_BITS) | 1))
@@ -46,15 +48,15 @@
         payload = verified_payload(data)
         if payload is None:
             raise DamagedLogError(
-                "the vote file is damaged; empty the data folder so that this replica "
+                "the vote file is corrupted; empty the data folder so that this replica "
                 "rejoins as a new one"
             )
         self.state = VoteState.unpack(payload)
 
     def save(self, term: int, voted_for: int) -> None:
-        """Put a term and a vote on disk, synced, and then in force.
+        """Write and sync a term and a vote, then adopt them.
 
-        :raises OSError: when the disk refuses them; the former ones stay in force.
+        :raises OSError: when the write fails; the previous term and vote stay in effect.
         """
         self._write(VoteState(term, self.state.identity, voted_for))
 
--- a/src/cranklane/replication/voting.py
+++ b/src/cranklane/replication/voting.py
@@ -1,7 +1,7 @@
-"""When a replica grants its vote: the rules alone, without state or input and output.
+"""Rules for granting votes, as pure functions.
 
-The replies of a voter to its leader are what the leader's lease rests on, so a voter that may
-still support a lease refuses every other candidate.
+A leader's lease relies on the replies of its voters, so a voter refuses other candidates while
+its last reply may still support a lease.
 """
 
 from __future__ import annotations
@@ -13,14 +13,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Voter:
-    """What a voter knows when it is asked.
+    """State of a voter at a vote request.
 
-    :ivar voted_for: leader of ``term`` once that is known, or else who got this replica's
-        vote in it; 0: nobody.
+    :ivar voted_for: leader of ``term``, once known, or else the candidate that got this
+        replica's vote; 0 for none.
     :ivar last_term: term of its newest entry.
     :ivar last_index: index of its newest entry.
-    :ivar leads: whether it leads itself.
-    :ivar timer_fresh: whether it may have replied to a leader within the election time.
+    :ivar leads: whether it is the leader.
+    :ivar timer_fresh: whether its election timer was reset within ``ELECTION_SECONDS``, so
+        that it may have replied to a leader in that time.
     """
 
     term: int
@@ -32,13 +33,11 @@
 
 
 def may_support_a_lease(voter: Voter, request: VoteRequest) -> bool:
-    """Return whether a leader other than the candidate may hold a lease with this voter.
+    """Return whether this voter's replies may support the lease of another leader.
 
-    Whoever asks then has lost touch with that leader. The replies of a voter, also before it
-    was restarted, went to the leader of its newest term, whom the vote file names, and to
-    earlier leaders, whose leases ran out before that one was elected. When that leader
-    stands again, as after a restart, it has no lease; nor has it when its disk is lost, since
-    its process has ended then.
+    Only the leader of the voter's newest term, recorded in the vote file, can have a lease:
+    leases of earlier leaders expired before its election. It has no lease if it is itself the
+    candidate, as after a restart, or if its disk is lost, because its process has ended.
     """
     last_leader = voter.voted_for
     lease_is_over = last_leader != 0 and last_leader in (request.candidate, request.lost)
@@ -46,17 +45,17 @@
 
 
 def is_up_to_date(voter: Voter, request: VoteRequest) -> bool:
-    """Return whether the candidate's log has all that may be committed, as the voter knows."""
+    """Return whether the candidate's log is at least as up to date as the voter's."""
     candidate_last = (request.last_term, request.last_index)
     return candidate_last >= (voter.last_term, voter.last_index)
 
 
-def grants_trial(voter: Voter, request: VoteRequest) -> bool:
-    """Return whether the voter would vote for a candidate that has not begun its term."""
+def grants_pre_vote(voter: Voter, request: VoteRequest) -> bool:
+    """Return whether the voter grants a pre-vote, before the candidate starts its term."""
     return request.term >= voter.term and is_up_to_date(voter, request)
 
 
-def grants(voter: Voter, request: VoteRequest) -> bool:
-    """Return whether the voter, already in the newest term, votes for a candidate of it."""
+def grants_vote(voter: Voter, request: VoteRequest) -> bool:
+    """Return whether the voter, after adopting the request's term, grants its vote."""
     is_free = voter.voted_for in (0, request.candidate)
     return request.term == voter.term and is_free and is_up_to_date(voter, request)
--- a/tests/test_proposals.py
+++ b/tests/test_proposals.py
@@ -17,15 +17,15 @@
 def test_a_proposal_gets_the_answer_of_its_entry():
     proposals = Proposals()
     proposal = proposals.add(7, term=2)
-    proposals.applied(entry(6, 2), "another")
-    proposals.applied(entry(7, 2), "answer")
+    proposals.resolve(entry(6, 2), "another")
+    proposals.resolve(entry(7, 2), "answer")
     assert proposals.wait(proposal) == Ok("answer")
 
 
 def test_a_proposal_whose_entry_was_replaced_is_unknown():
     proposals = Proposals()
     proposal = proposals.add(7, term=2)
-    proposals.applied(entry(7, 3), "answer")
+    proposals.resolve(entry(7, 3), "answer")
     assert proposals.wait(proposal) == Err(ProposalFailure.UNKNOWN)
 
 
@@ -44,5 +44,5 @@
     assert proposals.wait(late) == Err(ProposalFailure.UNKNOWN)
     # The index may be used again by a later leadership.
     again = proposals.add(7, term=3)
-    proposals.applied(entry(7, 3), "answer")
+    proposals.resolve(entry(7, 3), "answer")
     assert proposals.wait(again) == Ok("answer")
--- a/tests/test_replication_rules.py
+++ b/tests/test_replication_rules.py
@@ -44,13 +44,13 @@
 def test_a_candidate_needs_a_log_as_new_as_the_voters(last_term, last_index, up_to_date):
     request = REQUEST.replaced(last_term=last_term, last_index=last_index)
     assert voting.is_up_to_date(VOTER, request) is up_to_date
-    assert voting.grants_trial(VOTER, request) is up_to_date
-    assert voting.grants(replace(VOTER, term=6), request) is up_to_date
+    assert voting.grants_pre_vote(VOTER, request) is up_to_date
+    assert voting.grants_vote(replace(VOTER, term=6), request) is up_to_date
 
 
 @pytest.mark.parametrize(("term", "granted"), [(4, False), (5, True), (6, True)])
 def test_a_trial_vote_needs_a_term_that_is_not_older(term, granted):
-    assert voting.grants_trial(VOTER, REQUEST.replaced(term=term)) is granted
+    assert voting.grants_pre_vote(VOTER, REQUEST.replaced(term=term)) is granted
 
 
 @pytest.mark.parametrize(
@@ -58,7 +58,7 @@
     [(6, 0, True), (6, 2, True), (6, 3, False), (5, 0, False), (7, 0, False)],
 )
 def test_a_vote_is_given_once_a_term(term, voted_for, granted):
-    assert voting.grants(replace(VOTER, term=term, voted_for=voted_for), REQUEST) is granted
+    assert voting.grants_vote(replace(VOTER, term=term, voted_for=voted_for), REQUEST) is granted
 
 
 def test_a_lease_ends_before_an_election_with_clocks_that_differ_by_a_half():
@@ -76,11 +76,11 @@
 
 
 def test_waits_stand_in_the_order_that_their_reasons_give():
-    assert self_assembly.OUT_OF_TOUCH_SECONDS > 2 * timing.ELECTION_SECONDS
-    assert timing.DISK_PAUSE_SECONDS >= 4 * timing.ELECTION_SECONDS
+    assert self_assembly.LEADER_CONTACT_TIMEOUT_SECONDS > 2 * timing.ELECTION_SECONDS
+    assert timing.DISK_FAILURE_PAUSE_SECONDS >= 4 * timing.ELECTION_SECONDS
     assert PROPOSAL_SECONDS > 2 * timing.ELECTION_SECONDS
     assert membership_change.SILENT_VOTER_SECONDS > timing.REPLY_SECONDS
-    assert membership_change.SURPLUS_SILENT_SECONDS > membership_change.SILENT_VOTER_SECONDS
+    assert membership_change.SILENT_SURPLUS_VOTER_SECONDS > membership_change.SILENT_VOTER_SECONDS
 
 
 @pytest.mark.parametrize(
