--- a/tests/test_proposals.py
+++ b/tests/test_proposals.py
@@ -1,4 +1,4 @@
-"""What becomes of proposals that wait for their entries."""
+"""Results of pending proposals."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert proposals.wait(proposal) == Err(ProposalFailure.UNKNOWN)
 
 
-def test_proposals_of_a_lost_leadership_are_unknown():
+def test_proposals_of_an_ended_leadership_are_unknown():
     proposals = Proposals()
     waiting = [gevent.spawn(proposals.wait, proposals.add(index, 2)) for index in (1, 2)]
     gevent.idle()
@@ -37,12 +37,12 @@
     assert [task.get(timeout=1) for task in waiting] == [Err(ProposalFailure.UNKNOWN)] * 2
 
 
-def test_a_proposal_without_an_answer_in_time_is_unknown_and_forgotten(monkeypatch):
+def test_a_proposal_that_times_out_is_unknown_and_removed(monkeypatch):
     monkeypatch.setattr(proposals_module, "PROPOSAL_SECONDS", 0.01)
     proposals = Proposals()
     late = proposals.add(7, term=2)
     assert proposals.wait(late) == Err(ProposalFailure.UNKNOWN)
-    # The index may be used again by a later leadership.
+    # A later leadership may reuse the index.
     again = proposals.add(7, term=3)
     proposals.resolve(entry(7, 3), "answer")
     assert proposals.wait(again) == Ok("answer")
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -1,4 +1,4 @@
-"""Replicas on the virtual clock: joining, elections, lagging, changes of members."""
+"""Simulated replicas: joining, elections, leases, snapshots and membership changes."""
 
 from __future__ import annotations
 
@@ -44,52 +44,52 @@
     return run.fleet.controls[number].replica
 
 
-def test_only_one_leader_is_certain_while_control_is_cut_both_ways():
+def test_a_partition_leaves_at_most_one_leader_with_a_lease():
     def script(run):
         old = leader_number(run)
         cut_from_others(run, old)
-        certain = []
+        lease_counts = []
         for _ in range(100):
             gevent.sleep(0.05)
-            certain.append(sum(replica(run, number).may_read for number in range(3)))
-        return max(certain), replica(run, old).may_read, run.fleet.leader() is not None
+            lease_counts.append(sum(replica(run, number).may_read for number in range(3)))
+        return max(lease_counts), replica(run, old).may_read, run.fleet.leader() is not None
 
     for seed in range(1, 6):
         assert play(script, seed=seed) == (1, False, True)
 
 
-def test_a_frozen_leader_wakes_up_and_may_not_answer():
+def test_a_resumed_leader_has_no_lease():
     def script(run):
         old = leader_number(run)
         run.fleet.control_processes[old].freeze(120.0)
         gevent.sleep(10.0)
         version = edit(run, 1, 1)
         gevent.sleep(110.0)
-        believed = replica(run, old).may_read
+        had_lease = replica(run, old).may_read
         gevent.sleep(5.0)
-        return believed, run.fleet.controls[old].store.revision == version
+        return had_lease, run.fleet.controls[old].store.revision == version
 
     assert play(script) == (False, True)
 
 
-def test_clocks_that_differ_in_rate_keep_one_certain_leader():
+def test_clock_rate_drift_leaves_at_most_one_leader_with_a_lease():
     def script(run):
         for number, process in enumerate(run.fleet.control_processes):
             process.clock_rate = (0.8, 1.0, 1.2)[number]
-        most = 0
+        max_leases = 0
         for _ in range(60):
             gevent.sleep(0.3)
-            most = max(most, sum(replica(run, number).may_read for number in range(3)))
+            max_leases = max(max_leases, sum(replica(run, number).may_read for number in range(3)))
             if run.world.random.random() < 0.1:
                 cut_from_others(run, leader_number(run))
                 gevent.sleep(2.0)
                 run.world.network.heal_all()
-        return most
+        return max_leases
 
     assert {play(script, seed=seed) for seed in range(1, 5)} == {1}
 
 
-def test_a_replica_that_was_cut_off_disturbs_nobody_when_it_returns():
+def test_a_partitioned_replica_does_not_disrupt_the_leader_on_return():
     def script(run):
         leader = leader_number(run)
         cut_from_others(run, (leader + 1) % 3)
@@ -102,7 +102,7 @@
     assert play(script) == (0, True)
 
 
-def test_a_replica_far_behind_gets_a_snapshot(monkeypatch):
+def test_a_lagging_replica_gets_a_snapshot(monkeypatch):
     monkeypatch.setattr(applier, "MIN_SNAPSHOT_BYTES", 4096)
 
     def script(run):
@@ -130,15 +130,19 @@
             run.world.network.cut("control-0", name)
         run.fleet.start_control(0, process.host)
         gevent.sleep(20.0)
-        alone = replica(run, 0).is_member
+        joined_while_partitioned = replica(run, 0).is_member
         run.world.network.heal_all()
         gevent.sleep(10.0)
-        return alone, replica(run, 0).is_member, len(replica(run, 1).members.voters())
+        return (
+            joined_while_partitioned,
+            replica(run, 0).is_member,
+            len(replica(run, 1).members.voters()),
+        )
 
     assert play(script) == (False, True, 3)
 
 
-def test_a_name_that_a_live_replica_has_is_not_given_away():
+def test_a_join_with_the_name_of_an_alive_replica_is_refused():
     def script(run):
         settings = run.fleet.controls[1].settings
         other = run.world.process("impostor", settings.zone)
@@ -154,7 +158,7 @@
     assert play(script) == (False, True)
 
 
-def test_a_quorum_is_never_given_away_by_removing():
+def test_a_removal_that_risks_the_quorum_is_refused():
     def script(run):
         leader = leader_number(run)
         others = [number for number in range(3) if number != leader]
@@ -166,7 +170,7 @@
     assert play(script) is ChangeFailure.QUORUM_AT_RISK
 
 
-def test_a_lost_replica_can_be_removed_and_the_group_goes_on():
+def test_a_lost_replica_can_be_removed():
     def script(run):
         leader = leader_number(run)
         lost = (leader + 1) % 3
@@ -196,9 +200,9 @@
 
 
 def test_a_node_leaves_a_control_process_that_is_behind_its_peers(monkeypatch):
-    """The node's own observation, should a control process not notice that it is cut."""
+    """Guards the node's check for a control process that does not detect its own partition."""
     monkeypatch.setattr(Publisher, "send_away", lambda _self, *_limits: 0)
-    # In one zone, so that every node is called and hears from a caller.
+    # One zone, so that every node gets calls with the newer version.
     deployment = replace(chain(2, workers=2), zones=("zone-a",))
 
     def scenario(world):
@@ -210,7 +214,7 @@
         cut_from_others(run, old)
         text = f"{deployment.policy()}\n# newer\n"
         answer = fleet.operator("o").edit(deployment.name, text, 1, "r")
-        # Each hop of a call path may take up to 6 s to notice the one before it.
+        # Each hop of a call path may take up to 6 s to detect the newer version.
         gevent.sleep(16.0)
         behind = [p.name for p in fleet.pairs if p.node.configuration.version < 2]
         traffic.join()
@@ -219,8 +223,8 @@
     assert simulate(1, deployment.between_zones, scenario) == (True, [])
 
 
-def test_a_learner_that_is_cut_off_notices_and_sends_its_nodes_away():
-    """Found by review: its election timer restarted and looked like a leader's word."""
+def test_a_partitioned_learner_is_out_of_touch():
+    """Guards against a restart of the election timer counting as a leader's heartbeat."""
 
     def script(run):
         fleet = run.fleet
@@ -237,7 +241,7 @@
     assert play(script) == ((True, True), False)
 
 
-def test_a_leader_that_is_removed_leads_no_more():
+def test_a_removed_leader_steps_down():
     def script(run):
         leader = leader_number(run)
         removed = run.fleet.controls[leader].changes.remove(f"control-{leader}")
@@ -249,7 +253,7 @@
     assert play(script) == (Ok(None), False, True)
 
 
-def test_a_leader_does_not_stand_again():
+def test_a_leader_starts_no_new_term():
     def script(run):
         leader = replica(run, leader_number(run))
         term = leader.term
--- a/tests/test_replication_log.py
+++ b/tests/test_replication_log.py
@@ -1,4 +1,4 @@
-"""The log on disk: torn tails, damage, snapshots, and age."""
+"""Log and vote file on disk: torn tails, corruption, snapshots and compaction."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 
 def reopened(storage):
     log = Log(storage)
-    torn = log.open()
-    return log, torn
+    torn_bytes = log.open()
+    return log, torn_bytes
 
 
 def change(storage, name, position):
@@ -45,21 +45,21 @@
     storage.replace(name, bytes(data))
 
 
-def test_synced_entries_come_back(storage):
+def test_synced_entries_are_restored(storage):
     filled(storage, 5)
-    log, torn = reopened(storage)
-    assert (log.last_index, log.last_term, torn) == (5, 1, 0)
+    log, torn_bytes = reopened(storage)
+    assert (log.last_index, log.last_term, torn_bytes) == (5, 1, 0)
     assert [item.index for item in log.between(2, 4)] == [2, 3, 4]
 
 
-def test_a_tail_torn_anywhere_is_cut(storage):
+def test_a_torn_tail_is_truncated_at_any_offset(storage):
     filled(storage, 3)
     whole = storage.read(LOG_FILE)
     length = len(whole) // 3
     for cut in range(2 * length + 1, 3 * length):
         storage.replace(LOG_FILE, whole[:cut])
-        log, torn = reopened(storage)
-        assert (log.last_index, torn) == (2, cut - 2 * length)
+        log, torn_bytes = reopened(storage)
+        assert (log.last_index, torn_bytes) == (2, cut - 2 * length)
 
 
 def test_damage_below_a_synced_offset_is_refused(storage):
@@ -81,7 +81,7 @@
         reopened(storage)
 
 
-def test_a_conflicting_tail_is_replaced_and_stays_replaced(storage):
+def test_a_conflicting_tail_is_replaced_durably(storage):
     log = filled(storage, 5)
     log.append([entry(3, term=2), entry(4, term=2)])
     log.sync()
@@ -101,7 +101,7 @@
     assert log.term_at(7) == 1
 
 
-def test_a_snapshot_ahead_of_the_log_replaces_it_whole(storage):
+def test_a_snapshot_ahead_of_the_log_replaces_the_whole_log(storage):
     log = filled(storage, 3)
     log.compact(LogSnapshot(4, 9, [], b"state"))
     log, _ = reopened(storage)
@@ -128,8 +128,8 @@
         VoteFile(storage).open(Random(1), has_log=True)
 
 
-def test_a_store_comes_back_after_2000_changes_from_a_file_that_stays_small(storage):
-    """The size stays flat with age, because snapshots replace the entries."""
+def test_a_compacted_log_stays_small_and_restores_the_store(storage):
+    """Guards against a log that grows without bound."""
     limit = 256 * 1024
     store = ConfigurationStore()
     compiler = DocumentCompiler(store)
--- a/tests/test_replication_rules.py
+++ b/tests/test_replication_rules.py
@@ -1,4 +1,4 @@
-"""The rules of elections, leases and membership changes, each as a table."""
+"""Rules of elections, leases, membership changes and log compaction."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
         (replace(VOTER, leads=True), REQUEST, True),
         (replace(VOTER, timer_fresh=True), REQUEST, True),
         (replace(VOTER, timer_fresh=True, voted_for=3), REQUEST, True),
-        # The former leader asks itself: it was restarted and has no lease.
+        # The former leader is the candidate: it was restarted and has no lease.
         (replace(VOTER, timer_fresh=True, voted_for=2), REQUEST, False),
         # The former leader's disk is lost, so its process has ended.
         (replace(VOTER, timer_fresh=True, voted_for=3), REQUEST.replaced(lost=3), False),
         (replace(VOTER, timer_fresh=True, voted_for=4), REQUEST.replaced(lost=3), True),
-        # A leader knows that it has its lease, whoever else asks.
+        # The voter is itself the leader.
         (replace(VOTER, leads=True, voted_for=2), REQUEST, True),
     ],
 )
-def test_a_voter_that_may_support_a_lease_refuses_others(voter, request_, supports):
+def test_a_voter_that_may_support_a_lease_refuses_other_candidates(voter, request_, supports):
     assert voting.may_support_a_lease(voter, request_) is supports
 
 
@@ -41,7 +41,7 @@
     ("last_term", "last_index", "up_to_date"),
     [(4, 9, True), (4, 10, True), (5, 1, True), (4, 8, False), (3, 99, False)],
 )
-def test_a_candidate_needs_a_log_as_new_as_the_voters(last_term, last_index, up_to_date):
+def test_a_candidate_needs_an_up_to_date_log(last_term, last_index, up_to_date):
     request = REQUEST.replaced(last_term=last_term, last_index=last_index)
     assert voting.is_up_to_date(VOTER, request) is up_to_date
     assert voting.grants_pre_vote(VOTER, request) is up_to_date
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize(("term", "granted"), [(4, False), (5, True), (6, True)])
-def test_a_trial_vote_needs_a_term_that_is_not_older(term, granted):
+def test_a_pre_vote_is_refused_for_an_older_term(term, granted):
     assert voting.grants_pre_vote(VOTER, REQUEST.replaced(term=term)) is granted
 
 
@@ -57,25 +57,25 @@
     ("term", "voted_for", "granted"),
     [(6, 0, True), (6, 2, True), (6, 3, False), (5, 0, False), (7, 0, False)],
 )
-def test_a_vote_is_given_once_a_term(term, voted_for, granted):
+def test_a_voter_votes_once_per_term(term, voted_for, granted):
     assert voting.grants_vote(replace(VOTER, term=term, voted_for=voted_for), REQUEST) is granted
 
 
-def test_a_lease_ends_before_an_election_with_clocks_that_differ_by_a_half():
+def test_a_lease_expires_before_an_election_despite_clock_rate_drift():
     assert timing.LEASE_SECONDS * 1.5 < timing.ELECTION_SECONDS
     assert timing.HEARTBEAT_SECONDS * 3 <= timing.LEASE_SECONDS + 1e-9
     assert timing.REPLY_SECONDS < timing.ELECTION_SECONDS
     assert timing.VOTE_SECONDS < timing.ELECTION_SECONDS
 
 
-def test_election_timeouts_are_spread_over_once_to_twice_the_shortest():
+def test_election_timeouts_are_spread_up_to_twice_the_shortest():
     random = Random(1)
     timeouts = [timing.election_timeout(random) for _ in range(1000)]
     assert timing.ELECTION_SECONDS <= min(timeouts) < 1.05 * timing.ELECTION_SECONDS
     assert 1.95 * timing.ELECTION_SECONDS < max(timeouts) <= 2 * timing.ELECTION_SECONDS
 
 
-def test_waits_stand_in_the_order_that_their_reasons_give():
+def test_timeouts_are_ordered():
     assert self_assembly.LEADER_CONTACT_TIMEOUT_SECONDS > 2 * timing.ELECTION_SECONDS
     assert timing.DISK_FAILURE_PAUSE_SECONDS >= 4 * timing.ELECTION_SECONDS
     assert PROPOSAL_SECONDS > 2 * timing.ELECTION_SECONDS
@@ -95,13 +95,13 @@
         ((), (4,), {4}, False),
     ],
 )
-def test_a_removal_must_leave_a_quorum_that_is_alive(voters, learners, alive, keeps):
+def test_a_removal_must_leave_an_alive_quorum(voters, learners, alive, keeps):
     members = [ReplicaMember(identity, True) for identity in voters]
     members += [ReplicaMember(identity, False) for identity in learners]
     assert membership_change.keeps_quorum(members, lambda item: item.identity in alive) is keeps
 
 
-def test_two_quorums_of_neighbouring_sets_share_a_voter():
+def test_quorums_of_consecutive_member_sets_overlap():
     for voters in range(1, 10):
         assert 2 * quorum_of(voters) > voters
         assert quorum_of(voters) + quorum_of(voters + 1) > voters + 1
@@ -115,5 +115,5 @@
         (applier.MIN_SNAPSHOT_BYTES, 2 * applier.MIN_SNAPSHOT_BYTES),
     ],
 )
-def test_the_log_grows_with_the_snapshot_before_the_next_one(snapshot_bytes, threshold):
+def test_the_compaction_threshold_grows_with_the_snapshot(snapshot_bytes, threshold):
     assert applier.snapshot_threshold(snapshot_bytes) == threshold
