--- a/src/cranklane/distribution/__init__.py
+++ b/src/cranklane/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""Both ends of the protocol that distributes configuration and members to followers."""
+"""Distribution of configuration and members from control processes to subscribers."""
--- a/src/cranklane/distribution/configuration_file.py
+++ b/src/cranklane/distribution/configuration_file.py
@@ -1,7 +1,7 @@
-"""Keeps the adopted configuration on disk, so that a restart never goes back.
+"""Durable copy of the adopted configuration, so that a restart never reverts to an older one.
 
-Owns one file of the process's storage. A damaged file counts as none: control sends
-everything again.
+Owns one file of the process's storage. A corrupted file is ignored, because control sends the
+whole configuration again.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 
 
 class ConfigurationFile:
-    """The file of one process."""
+    """Configuration file of one process."""
 
     def __init__(self, storage: Storage) -> None:
         self._storage = storage
         self._rows: dict[str, ConfigRow] = {}
 
     def load(self) -> ConfigDelta | None:
-        """Return what was adopted last, or None when there is nothing usable."""
+        """Return the configuration saved last, or None when it is missing or corrupted."""
         data = self._storage.read(_FILE)
         payload = verified_payload(data) if data is not None else None
         if payload is None:
@@ -31,9 +31,9 @@
         return delta
 
     def save(self, delta: ConfigDelta) -> None:
-        """Put the state after a delta on disk, synced.
+        """Apply a delta to the saved configuration, and write and sync the file.
 
-        :raises OSError: when the disk refuses it.
+        :raises OSError: when the write fails.
         """
         if delta.whole:
             self._rows.clear()
--- a/src/cranklane/distribution/follower.py
+++ b/src/cranklane/distribution/follower.py
@@ -1,4 +1,4 @@
-"""What a process that follows control provides to its subscription."""
+"""Callbacks and timing that a process provides to its subscription to control."""
 
 from __future__ import annotations
 
@@ -9,30 +9,32 @@
 from cranklane.records.messages import ConfigDelta, Heartbeat, MemberDelta, Message
 
 HEARTBEAT_SECONDS = 2.0
-"""Between heartbeats to control. A choice: three in the lease that control keeps
+"""Interval of heartbeats to control; three fit into the member's lease
 (``membership.LEASE_SECONDS``)."""
 
 CONTROL_SILENT_SECONDS = 5.0
-"""Time without a byte from control after which another control process is tried. A choice:
-two pings (``publisher.PING_SECONDS``) may be late."""
+"""Time without received bytes after which a control process is lost; two pings
+(``publisher.PING_SECONDS``) may be late."""
 
 
 class AdoptedConfiguration(Protocol):
-    """What a subscription brings up to date."""
+    """The configuration that a subscription updates."""
 
     version: int
 
     def adopt(self, delta: ConfigDelta) -> bool:
-        """Apply a delta; return False when it does not follow what is in force."""
+        """Apply a delta; return False when its base is not the current version."""
 
 
 class FollowTiming(NamedTuple):
-    """Times of a subscription, in seconds.
-
-    :ivar heartbeat: between heartbeats to control.
-    :ivar raises_incarnation: whether no other process of this name can be alive, so
-        that one that seems newer is an earlier one whose clock was ahead.
-    :ivar silent: without a byte from control after which another one is tried.
+    """Timing of a subscription, in seconds, and its incarnation rule.
+
+    :ivar heartbeat: interval of heartbeats to control.
+    :ivar silent: time without received bytes after which a control process is lost.
+    :ivar max_backoff: longest mean pause between rounds of connection attempts.
+    :ivar raises_incarnation: whether the process outbids a newer known incarnation. Set where
+        no other process of its name can be alive, so that a newer incarnation is from an
+        earlier process whose clock was ahead.
     """
 
     heartbeat: float = HEARTBEAT_SECONDS
@@ -46,13 +48,13 @@
 
 
 class Follower(NamedTuple):
-    """What a subscription calls in the process that follows control.
+    """Callbacks of a subscription into its process.
 
-    :ivar heartbeat: returns the process's own state for its heartbeats; who it is
-        and the version in force are filled in by the subscription.
-    :ivar on_members: given changes of the members.
-    :ivar on_change: called after a change of configuration is in force.
-    :ivar on_answer: given answers to heartbeats and shares of tenants; None asks for none.
+    :ivar heartbeat: returns the process's state; the subscription fills in incarnation and
+        configuration version.
+    :ivar on_members: called with member changes.
+    :ivar on_change: called after a configuration change was adopted.
+    :ivar on_answer: called with heartbeat answers and tenant shares; None requests no answers.
     """
 
     heartbeat: Callable[[], Heartbeat]
--- a/src/cranklane/distribution/group_contact.py
+++ b/src/cranklane/distribution/group_contact.py
@@ -1,9 +1,8 @@
-"""Whether a control process is in touch with its group, and what follows for its subscribers.
+"""Contact of a control process to its group, and admission of subscribers without contact.
 
-A process that has no leader may miss what is committed. Its subscribers go to another one;
-a node that found no other one may stay for a while nevertheless: a process out of touch
-knows the members around it, which is better than nothing. Owns only when the process was last in
-touch.
+A process out of touch with its group's leader may miss committed changes, so its subscribers
+must find another one. A node that finds none may subscribe for a limited time as a last resort,
+because the process still tracks its local members.
 """
 
 from __future__ import annotations
@@ -16,13 +15,13 @@
 
 @dataclass(frozen=True)
 class NodeServiceTiming:
-    """Times in seconds.
+    """Timing of a control process toward nodes, in seconds.
 
-    :ivar out_of_touch_after: without contact to the group until subscribers are sent away.
-    :ivar last_resort_stay: that a node which found no other process stays nevertheless.
-    :ivar contact_check: between checks whether this process is in touch.
-    :ivar expiry_check: between checks for members whose lease has run out.
-    :ivar ping: between pings to a subscriber that there is no update for.
+    :ivar out_of_touch_after: time without contact after which subscriptions are ended.
+    :ivar last_resort_stay: longest last-resort subscription without contact.
+    :ivar contact_check: interval of checks of the contact.
+    :ivar expiry_check: interval of checks for expired member leases.
+    :ivar ping: interval of pings to a subscriber without updates.
     """
 
     out_of_touch_after: float
@@ -33,9 +32,9 @@
 
 
 class GroupContact:
-    """Contact of one control process to its group.
+    """Tracks the contact of one control process to its group.
 
-    :param clock: monotonic seconds.
+    :param clock: returns monotonic seconds.
     """
 
     def __init__(self, timing: NodeServiceTiming, clock: Callable[[], float]) -> None:
@@ -43,8 +42,8 @@
         self._clock = clock
         self._in_touch_at = clock()
 
-    def confirm(self) -> None:
-        """Note that the replica is in touch now."""
+    def record_contact(self) -> None:
+        """Record that the replica is in touch with its leader now."""
         self._in_touch_at = self._clock()
 
     @property
@@ -55,15 +54,15 @@
     def admits(self, last_resort: bool) -> bool:
         """Return whether a node may subscribe.
 
-        :param last_resort: whether the node found no process in touch.
+        :param last_resort: whether the node found no control process in touch.
         """
         return self.in_touch or last_resort
 
-    def oldest_allowed(self) -> tuple[float, float]:
-        """Return from which monotonic second on subscriptions may stay while out of touch.
+    def subscription_cutoffs(self) -> tuple[float, float]:
+        """Return the monotonic seconds before which subscriptions end while out of touch.
 
-        The first is for ordinary nodes, none of which stays; the second for nodes that
-        subscribed as a last resort.
+        :returns: the cutoff of ordinary subscriptions, which all end, and the cutoff of
+            last-resort subscriptions.
         """
         now = self._clock()
         return now, now - self._timing.last_resort_stay
--- a/src/cranklane/distribution/exchange.py
+++ b/src/cranklane/distribution/member_exchange.py
@@ -1,7 +1,7 @@
-"""Reports between control processes on the nodes subscribed to them.
+"""Exchange of members and tenant usage between control processes.
 
-One task for each other control process sends it what is new. Owns those tasks; members and
-usage belong to :class:`Membership` and :class:`SidecarSupport`.
+Owns one reporting task for each other control process; members and usage belong to
+:class:`Membership` and :class:`SidecarSupport`.
 """
 
 from __future__ import annotations
@@ -20,72 +20,72 @@
 from cranklane.runtime.interface import Runtime, parse_address
 
 REPORT_SECONDS = 1.0
-"""Between reports when nothing is new. A choice: several fit into ``SILENT_SECONDS``."""
+"""Interval of reports without changes; several fit into ``SILENT_SECONDS``."""
 
 SILENT_SECONDS = 5.0
-"""Time without a byte after which another control process counts as lost. A choice."""
+"""Time without received bytes after which a connection to a control process is lost."""
 
 MERGE_SECONDS = 0.05
-"""Time over which changes are gathered after a report. A choice, as for subscribers."""
+"""Delay after a report that merges further changes into the next one."""
 
 CONNECT_SECONDS = 1.0
-"""Wait for a connection. A choice."""
+"""Connect timeout."""
 
 RETRY_SECONDS = 0.5
-"""Mean time before a failed report is sent again, and between looks for new control
-processes. A choice."""
+"""Mean delay before a failed connection is reopened, and interval of checks for new control
+processes."""
 
 
-class Exchange:
-    """Reports to and from the other control processes.
+class MemberExchange:
+    """Sends reports to other control processes and receives theirs.
 
-    :param others: returns the other control processes.
+    :param other_controls: returns the other control processes.
     :param hello: returns this process's greeting.
-    :ivar sidecars: has and takes the totals of tenants' usage; None where there are none.
+    :ivar sidecars: provides and receives totals of tenant usage, None without sidecars.
     """
 
     def __init__(
         self,
         runtime: Runtime,
         membership: Membership,
-        others: Callable[[], list[ReplicaMember]],
+        other_controls: Callable[[], list[ReplicaMember]],
         hello: Callable[[], Hello],
     ) -> None:
         self._runtime = runtime
         self._membership = membership
-        self._others = others
+        self._other_controls = other_controls
         self._hello = hello
         self._wakeups: dict[str, Event] = {}
         self.sidecars: SidecarSupport | None = None
 
     def changed(self) -> None:
-        """Report soon: members, versions or usage have changed."""
+        """Wake the reporting tasks after a change of members, versions or usage."""
         for wakeup in self._wakeups.values():
             wakeup.set()
 
     def run(self) -> None:
-        """Start a task for each control process that is new, for ever."""
+        """Start a task for each new control process; runs until the process ends."""
         while True:
-            for other in self._others():
-                if other.address not in self._wakeups:
-                    self._wakeups[other.address] = Event()
-                    self._runtime.spawn(self._keep_reporting, other.address)
+            for replica in self._other_controls():
+                if replica.address not in self._wakeups:
+                    self._wakeups[replica.address] = Event()
+                    self._runtime.spawn(self._keep_reporting, replica.address)
             gevent.sleep(RETRY_SECONDS)
 
     def _is_member(self, address: str) -> bool:
-        return any(other.address == address for other in self._others())
+        return any(replica.address == address for replica in self._other_controls())
 
     def _keep_reporting(self, address: str) -> None:
         while self._is_member(address):
             try:
                 self._report(address)
             except (OSError, ConnectionLostError, MalformedRecordError):
-                # The next connection starts with a whole report.
+                # The next connection starts with a complete report.
                 gevent.sleep(RETRY_SECONDS * (0.5 + self._runtime.random.random()))
         del self._wakeups[address]
 
     def _report(self, address: str) -> None:
-        """Report on one connection until it ends or the process is no member any more."""
+        """Report on one connection until it fails or the process leaves the group."""
         connection = self._runtime.connect(parse_address(address), CONNECT_SECONDS)
         records = RecordConnection(connection, SILENT_SECONDS)
         wakeup = self._wakeups[address]
@@ -110,23 +110,23 @@
             records.close()
 
     def serve(self, records: RecordConnection, first: MemberReport) -> None:
-        """Take another process's reports until its connection ends."""
+        """Receive the reports of another control process until its connection closes."""
         records.set_silent_after(SILENT_SECONDS)
-        self._membership.take_report(first)
+        self._membership.apply_report(first)
         try:
             while True:
-                self._take(records)
+                self._receive(records)
         except (ConnectionLostError, MalformedRecordError):
-            # The other process connects again; its members stay for its lease.
+            # The other process reconnects; its members stay until its lease expires.
             return
         finally:
             records.close()
 
-    def _take(self, records: RecordConnection) -> None:
+    def _receive(self, records: RecordConnection) -> None:
         _, message = records.receive()
         match message:
             case MemberReport():
-                self._membership.take_report(message)
+                self._membership.apply_report(message)
             case UsageTotals() if self.sidecars is not None:
                 self.sidecars.take_totals(message)
             case _:
--- a/src/cranklane/distribution/member_state.py
+++ b/src/cranklane/distribution/member_state.py
@@ -1,4 +1,4 @@
-"""What is known of a member of the fleet, as records between processes state it."""
+"""State of a node or edge, as encoded in records."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 
 
 class MemberState(IntEnum):
-    """What is known of a node."""
+    """State of a member of the fleet."""
 
     LIVE = 0
     DRAINING = 1
     GONE = 2
-    """It said that it ends, or that nothing runs there."""
+    """The member reported that it stops or that nothing runs there."""
     SILENT = 3
-    """Its lease at control has run out: it is gone, or cut off from control."""
+    """The member's lease expired: it is gone or partitioned from control."""
 
     @property
     def is_there(self) -> bool:
-        """Whether control takes the node to be there."""
+        """Whether control lists the member as present."""
         return self in (MemberState.LIVE, MemberState.DRAINING)
--- a/src/cranklane/distribution/node_service.py
+++ b/src/cranklane/distribution/node_service.py
@@ -1,9 +1,7 @@
-"""What a control process does for nodes, whichever configuration it keeps.
+"""Service of a control process to nodes, independent of the kind of configuration.
 
-It knows the members with the other control processes, sends them and the
-configuration to its subscribers, and sends subscribers away while it may miss what
-its group has committed. Owns the tasks that do so; members, subscribers and the contact to
-the group belong to the modules that it puts together.
+Tracks members together with the other control processes, publishes members and configuration
+to subscribers, and ends subscriptions while this process is out of touch with its group.
 """
 
 from __future__ import annotations
@@ -13,8 +11,8 @@
 
 import gevent
 
-from cranklane.distribution.exchange import Exchange
 from cranklane.distribution.group_contact import GroupContact, NodeServiceTiming
+from cranklane.distribution.member_exchange import MemberExchange
 from cranklane.distribution.membership import Membership
 from cranklane.distribution.publisher import Publisher
 from cranklane.distribution.sidecar_support import SidecarSupport
@@ -28,10 +26,10 @@
 class NodeService:
     """Members and subscribers of one control process.
 
-    :param source: the configuration that subscribers get.
+    :param source: store of the published configuration.
     :param hello: returns this process's greeting.
     :param sends_replicas: whether subscribers get the addresses of other control processes.
-    :ivar membership: who is there.
+    :ivar membership: members of the fleet.
     :ivar publisher: serves the subscribers.
     """
 
@@ -53,20 +51,20 @@
         self.membership = Membership(name, runtime.monotonic, self._members_changed)
         replicas = self._replica_addresses if sends_replicas else None
         self.publisher = Publisher(runtime, source, self.membership, replicas, timing.ping)
-        self._exchange = Exchange(runtime, self.membership, self._others, hello)
+        self._exchange = MemberExchange(runtime, self.membership, self._other_controls, hello)
 
     def serve_sidecars(self, sidecars: SidecarSupport) -> None:
-        """Serve also what only sidecars need."""
+        """Enable heartbeat answers, usage reports and admission ratios for sidecars."""
         self.publisher.serve_sidecars(sidecars)
         self._exchange.sidecars = sidecars
         self._runtime.spawn(sidecars.run)
 
     def usage_changed(self) -> None:
-        """Send other control processes the totals of tenants' usage that are new."""
+        """Send new totals of tenant usage to other control processes."""
         self._exchange.changed()
 
     def start(self, replica: Replica) -> None:
-        """Start its tasks.
+        """Start the tasks of this service.
 
         :param replica: this process's replica of the group.
         """
@@ -75,7 +73,7 @@
             self._runtime.spawn(task)
 
     def serve(self, records: RecordConnection) -> None:
-        """Serve the connection of a node, or of another control process."""
+        """Serve the connection of a node or of another control process until it closes."""
         _, message = records.receive()
         match message:
             case Subscribe() if self._contact.admits(message.last_resort):
@@ -88,15 +86,15 @@
 
     @property
     def in_touch(self) -> bool:
-        """Whether this process was lately in touch with its group's leader."""
+        """Whether this process was recently in touch with its group's leader."""
         return self._contact.in_touch
 
     def _members(self) -> list[ReplicaMember]:
         return self._replica.members.current if self._replica is not None else []
 
-    def _others(self) -> list[ReplicaMember]:
-        own = self._replica.identity if self._replica is not None else 0
-        return [item for item in self._members() if item.identity != own]
+    def _other_controls(self) -> list[ReplicaMember]:
+        own_identity = self._replica.identity if self._replica is not None else 0
+        return [item for item in self._members() if item.identity != own_identity]
 
     def _replica_addresses(self) -> list[str]:
         return sorted(item.address for item in self._members())
@@ -106,20 +104,20 @@
         self._exchange.changed()
 
     def _watch_contact(self) -> None:
-        """Send subscribers away while this process may miss what is committed."""
+        """End subscriptions while this process is out of touch; runs until the process ends."""
         out_of_touch = False
         while True:
             gevent.sleep(self._timing.contact_check)
             if self._replica is not None and self._replica.in_touch:
-                self._contact.confirm()
+                self._contact.record_contact()
             if self.in_touch == out_of_touch:
                 out_of_touch = not out_of_touch
                 self._log.warning("out_of_touch" if out_of_touch else "in_touch")
             if out_of_touch:
-                self.publisher.send_away(*self._contact.oldest_allowed())
+                self.publisher.send_away(*self._contact.subscription_cutoffs())
 
     def _expire(self) -> None:
-        """Mark members whose lease has run out, for ever."""
+        """Mark members with an expired lease; runs until the process ends."""
         while True:
             gevent.sleep(self._timing.expiry_check)
             for member in self.membership.expire():
--- a/src/cranklane/distribution/publisher.py
+++ b/src/cranklane/distribution/publisher.py
@@ -1,8 +1,8 @@
-"""Serves the subscriptions of nodes.
+"""Server of node subscriptions.
 
-One task for each subscriber sends what it has not seen yet: a subscriber that is
-slow gets one larger delta later, never a queue of small ones. Owns who is subscribed;
-:class:`SubscriberUpdates` knows what to send.
+One task for each subscriber sends deltas from its last sent state, so that a slow subscriber gets
+one larger delta rather than a queue of small ones. Owns the set of subscribers;
+:class:`SubscriberUpdates` builds the updates.
 """
 
 from __future__ import annotations
@@ -22,24 +22,25 @@
 from cranklane.runtime.interface import Runtime
 
 SILENT_SECONDS = 6.0
-"""Time without a byte after which a subscriber counts as lost. A choice: three heartbeats, as
-the lease of a member."""
+"""Time without received bytes after which a subscriber is lost: three heartbeat intervals, as for
+a member's lease."""
 
 MERGE_SECONDS = 0.05
-"""Time over which changes are gathered before subscribers get them: when many nodes join at
-once, each subscriber gets many in one record. A choice."""
+"""Delay that merges changes before they are sent, so that many simultaneous joins are one record
+for each subscriber."""
 
 PING_SECONDS = 2.0
-"""Between pings to a subscriber that there is no update for. A choice: two fit into the 5 s of
-silence after which a node looks for another control process."""
+"""Interval of pings to a subscriber without updates; two fit into
+``follower.CONTROL_SILENT_SECONDS``."""
 
 
 class Publisher:
-    """Serves subscribers of one control process.
+    """Serves the subscribers of one control process.
 
-    :param replicas: returns the addresses at which nodes may subscribe; None sends none.
-    :param ping_seconds: between pings to a subscriber that there is no update for.
-    :ivar subscribers: by the node's name.
+    :param replicas: returns the addresses of control processes for subscribers, None to send
+        none.
+    :param ping_seconds: interval of pings to a subscriber without updates.
+    :ivar subscribers: current subscribers by node name.
     """
 
     def __init__(
@@ -60,12 +61,12 @@
         runtime.spawn(self._wake_subscribers)
 
     def serve_sidecars(self, sidecars: SidecarSupport) -> None:
-        """Serve also what only sidecars need."""
+        """Enable heartbeat answers, usage reports and admission ratios for sidecars."""
         self._sidecars = sidecars
         self._updates.sidecars = sidecars
 
     def changed(self) -> None:
-        """Send subscribers what is new, gathered over ``MERGE_SECONDS``."""
+        """Send updates to subscribers after a delay of ``MERGE_SECONDS``."""
         self._changed.set()
 
     def _wake_subscribers(self) -> None:
@@ -76,30 +77,30 @@
             self.wake()
 
     def wake(self) -> None:
-        """Send every subscriber what is new at once."""
+        """Send updates to all subscribers without delay."""
         for subscriber in list(self.subscribers.values()):
             subscriber.wakeup.set()
 
     def serve(self, records: RecordConnection, identity: Subscribe) -> None:
-        """Serve one subscriber's connection until it ends."""
+        """Serve one subscriber's connection until it closes."""
         subscriber = Subscriber(identity, records)
         subscriber.subscribed_at = self._runtime.monotonic()
         try:
             newest = self._membership.incarnation_of(identity.node)
             if newest > identity.incarnation:
                 records.send(IncarnationKnown(newest))
-            self._join(subscriber)
+            self._register(subscriber)
             while True:
-                self._take(subscriber)
+                self._receive(subscriber)
         except (ConnectionLostError, MalformedRecordError):
-            # The node subscribes again or elsewhere; its lease runs until then.
+            # The node subscribes here again or elsewhere before its lease expires.
             return
         finally:
             records.close()
-            self._leave(subscriber)
+            self._unregister(subscriber)
 
-    def _take(self, subscriber: Subscriber) -> None:
-        """Take one record of a subscriber."""
+    def _receive(self, subscriber: Subscriber) -> None:
+        """Receive and process one record of a subscriber."""
         _, message = subscriber.records.receive()
         subscriber.last_record_at = self._runtime.monotonic()
         match message:
@@ -113,15 +114,15 @@
                 raise MalformedRecordError(f"{type(message).__name__} from a subscriber")
 
     def active_since(self, moment: float) -> int:
-        """Return how many subscribers have sent a record since a monotonic second."""
+        """Return the number of subscribers that sent a record since a monotonic second."""
         return sum(item.last_record_at >= moment for item in self.subscribers.values())
 
     def send_away(self, before: float, last_resort_before: float) -> int:
-        """End subscriptions, so that their nodes go to another control process.
+        """Close connections of subscribers, so that they find another control process.
 
-        :param before: those older than this monotonic second.
-        :param last_resort_before: the same for nodes that found no other process.
-        :returns: how many were ended.
+        :param before: monotonic second; older ordinary subscriptions are ended.
+        :param last_resort_before: monotonic second; older last-resort subscriptions are ended.
+        :returns: number of ended subscriptions.
         """
         ended = 0
         for subscriber in list(self.subscribers.values()):
@@ -131,7 +132,7 @@
                 ended += 1
         return ended
 
-    def _join(self, subscriber: Subscriber) -> None:
+    def _register(self, subscriber: Subscriber) -> None:
         name = subscriber.identity.node
         replaced = self.subscribers.get(name)
         if replaced is not None:
@@ -140,11 +141,11 @@
                 raise ConnectionLostError("a newer process of this name is subscribed")
             replaced.records.close()
         self.subscribers[name] = subscriber
-        self._updates.resume(subscriber)
-        self._membership.subscribed(subscriber.identity)
+        self._updates.mark_current(subscriber)
+        self._membership.add_subscriber(subscriber.identity)
         self._runtime.spawn(self._publish, subscriber)
 
-    def _leave(self, subscriber: Subscriber) -> None:
+    def _unregister(self, subscriber: Subscriber) -> None:
         subscriber.wakeup.set()
         if self.subscribers.get(subscriber.identity.node) is subscriber:
             del self.subscribers[subscriber.identity.node]
@@ -158,5 +159,5 @@
                     records.send(Ping(subscriber.sent_version))
                 subscriber.wakeup.wait(self._ping_seconds)
         except ConnectionLostError:
-            # The task that reads the connection sees the same and ends the subscription.
+            # The task that reads the connection fails as well and ends the subscription.
             return
--- a/src/cranklane/distribution/reconnect.py
+++ b/src/cranklane/distribution/reconnect.py
@@ -1,6 +1,6 @@
-"""How long to wait for a connection to control, and between rounds of attempts.
+"""Connect timeouts and backoff of connection attempts to control.
 
-A round asks all control processes once. Owns only the state of one follower's attempts.
+A round tries all control processes once.
 """
 
 from __future__ import annotations
@@ -8,25 +8,24 @@
 from random import Random
 
 CONNECT_SECONDS = 1.0
-"""Longest wait for a connection. A choice."""
+"""Longest connect timeout."""
 
 FIRST_CONNECT_SECONDS = 0.25
-"""Wait for a connection in the first round: a machine without power does not answer at all, and
-another one may be there. Each further round allows twice as long. A choice."""
+"""Connect timeout in the first round, doubled in each further one. Short, so that unreachable
+machines do not delay a connection to the next one."""
 
 MIN_BACKOFF_SECONDS = 0.1
-"""Mean pause after the first round; each further one is twice as long. A choice."""
+"""Mean pause after the first round, doubled after each further one."""
 
 MAX_BACKOFF_SECONDS = 3.0
-"""Longest mean pause between rounds. A choice: many followers that return at once spread
-over it."""
+"""Longest mean pause between rounds; spreads many followers that reconnect at once."""
 
 
 class Reconnect:
-    """Connection time and pauses of one follower.
+    """Connect timeout and backoff of one follower.
 
     :param max_backoff: longest mean pause, in seconds.
-    :ivar connect_seconds: wait for a connection now.
+    :ivar connect_seconds: current connect timeout.
     """
 
     def __init__(self, max_backoff: float = MAX_BACKOFF_SECONDS) -> None:
@@ -34,26 +33,26 @@
         self._backoff = MIN_BACKOFF_SECONDS
         self.connect_seconds = FIRST_CONNECT_SECONDS
 
-    def served(self) -> None:
-        """Start anew: a control process has served this follower."""
+    def reset(self) -> None:
+        """Reset timeout and backoff after a control process served this follower."""
         self._backoff = MIN_BACKOFF_SECONDS
         self.connect_seconds = FIRST_CONNECT_SECONDS
 
-    def round_ended(self) -> None:
-        """Allow connections of the next round twice as long."""
+    def end_round(self) -> None:
+        """Double the connect timeout for the next round."""
         self.connect_seconds = min(CONNECT_SECONDS, self.connect_seconds * 2)
 
-    def needs_any(self) -> bool:
-        """Return whether to take a control process that is out of touch with its group.
+    def accepts_out_of_touch(self) -> bool:
+        """Return whether to subscribe to a control process that is out of touch with its group.
 
-        So from the second round on in which none served: none may be in touch.
+        This is the case from the second consecutive round on in which none served.
         """
         return self._backoff > MIN_BACKOFF_SECONDS
 
-    def pause(self, random: Random) -> float:
-        """Return the pause before the next round, in seconds, and double the one after it.
+    def next_pause(self, random: Random) -> float:
+        """Return a random pause before the next round, in seconds, and double the mean.
 
-        Spread by half on either side, so that followers do not return all at once.
+        The pause is within half of the mean, so that followers do not reconnect all at once.
         """
         seconds = self._backoff * (0.5 + random.random())
         self._backoff = min(self._max_backoff, self._backoff * 2)
--- a/src/cranklane/distribution/shared_frames.py
+++ b/src/cranklane/distribution/shared_frames.py
@@ -1,4 +1,4 @@
-"""Frames that many subscribers get alike, encoded once for all of them."""
+"""Cache of encoded frames that are sent to many subscribers."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class NewestFrames:
-    """Frames that bring subscribers from where they are to the newest state.
+    """Encoded deltas from base positions to the newest position.
 
-    Subscribers that get everything and are at the same place get the same bytes; frames of
-    an older state are dropped.
+    Subscribers of everything with the same base share a frame. A newer position clears the
+    cache.
     """
 
     def __init__(self) -> None:
         self._newest = -1
         self._by_base: dict[int, bytes] = {}
 
-    def get(self, span: tuple[int, int], make: Callable[[], bytes]) -> bytes:
-        """Return the frame for a span of states, from a base to the newest.
+    def get(self, span: tuple[int, int], encode: Callable[[], bytes]) -> bytes:
+        """Return the frame for a span from a base to the newest position.
 
-        :param make: encodes it where it is not there yet.
+        :param encode: encodes the frame if it is not cached.
         """
         base, newest = span
         if newest != self._newest:
@@ -27,5 +27,5 @@
             self._by_base.clear()
         frame = self._by_base.get(base)
         if frame is None:
-            frame = self._by_base[base] = make()
+            frame = self._by_base[base] = encode()
         return frame
--- a/src/cranklane/distribution/sidecar_support.py
+++ b/src/cranklane/distribution/sidecar_support.py
@@ -1,7 +1,6 @@
-"""What distribution needs of the part of a control process that only sidecars use.
+"""Interface to the services that a control process provides only to sidecars.
 
-A control process without sidecars has no such part. The implementation belongs to the
-program that keeps route tables; distribution knows only this protocol.
+Implemented by the controller; a control process without sidecars has no implementation.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 
 
 class SidecarSupport(Protocol):
-    """Heartbeat answers, usage of tenants and the ratios of their requests to admit."""
+    """Heartbeat answers, tenant usage and tenant admission ratios."""
 
     @property
     def usage_position(self) -> int:
@@ -24,22 +23,22 @@
         """Position of the newest change of an admission ratio."""
 
     def run(self) -> None:
-        """Recompute the admission ratios periodically, for ever."""
+        """Recompute the admission ratios periodically; runs until the process ends."""
 
     def answer_heartbeat(self, records: RecordConnection, heartbeat: Heartbeat) -> None:
-        """Answer a heartbeat that asks for it.
+        """Answer a heartbeat that requests an answer.
 
-        :raises ConnectionLostError: when the connection is gone.
+        :raises ConnectionLostError: when the connection is closed.
         """
 
     def take_usage(self, report: UsageReport) -> None:
         """Add a sidecar's usage report."""
 
     def take_totals(self, totals: UsageTotals) -> None:
-        """Add another control process's totals."""
+        """Add the usage totals of another control process."""
 
     def totals_since(self, position: int) -> UsageTotals:
-        """Return the totals changed after a position, for other control processes."""
+        """Return the usage totals changed after a position, for other control processes."""
 
     def shares_since(self, position: int) -> TenantShares | None:
-        """Return the ratios changed after a position, None when none has."""
+        """Return the admission ratios changed after a position, or None without a change."""
--- a/src/cranklane/distribution/subscriber.py
+++ b/src/cranklane/distribution/subscriber.py
@@ -1,4 +1,4 @@
-"""One subscribed node as its control process sees it."""
+"""State of a subscriber at its control process."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class Subscriber:
-    """A subscription and what has been sent on it.
+    """A subscription and the state sent on it.
 
     :ivar sent_version: revision of the configuration sent last.
-    :ivar sent_services: services whose rows and members were sent; None: all.
-    :ivar sent_members: position of the members sent last; 0: none yet.
+    :ivar sent_services: services whose rows and members were sent, None for all.
+    :ivar sent_members: position of the members sent last, 0 for none.
     :ivar sent_replicas: addresses of control processes sent last.
     :ivar sent_shares: position of the admission ratios sent last.
-    :ivar subscribed_at: monotonic second of its subscription.
-    :ivar last_record_at: monotonic second of its last record, 0 for none.
-    :ivar wakeup: set when there may be something to send.
+    :ivar subscribed_at: monotonic second of the subscription.
+    :ivar last_record_at: monotonic second of the last received record, 0 for none.
+    :ivar wakeup: set when there may be an update to send.
     """
 
     def __init__(self, identity: Subscribe, records: RecordConnection) -> None:
@@ -35,6 +35,6 @@
 
     @property
     def service(self) -> str:
-        """Full name of the node's service, or empty at an edge."""
+        """Full name of the node's service, empty for an edge."""
         identity = self.identity
         return f"{identity.tenant}.{identity.service}" if identity.service else ""
--- a/src/cranklane/distribution/subscriber_updates.py
+++ b/src/cranklane/distribution/subscriber_updates.py
@@ -1,7 +1,6 @@
-"""Works out and sends what a subscriber has not seen yet.
+"""Updates of configuration, members, replicas and admission ratios for subscribers.
 
-Reads configuration, members and admission ratios that others own; keeps the frames that many
-subscribers get alike.
+Owns the cache of frames that subscribers share.
 """
 
 from __future__ import annotations
@@ -26,25 +25,26 @@
 
 
 class RowSource(Protocol):
-    """The store that configuration comes from.
+    """Store of the published configuration.
 
-    :ivar revision: of the newest configuration.
+    :ivar revision: revision of the newest configuration.
     """
 
     revision: int
 
     def delta(self, base: int) -> ConfigDelta:
-        """Return what a subscriber at ``base`` needs to be current."""
+        """Return the changes from revision ``base`` to the current revision."""
 
     def value(self, key: str) -> bytes:
-        """Return a row's value, empty when there is none."""
+        """Return a row's value, empty when the row is missing or deleted."""
 
 
 class SubscriberUpdates:
-    """Sends updates of one control process.
+    """Builds and sends the updates of one control process.
 
-    :param replicas: returns the addresses at which nodes may subscribe; None sends none.
-    :ivar sidecars: serves what only sidecars need; None where there are none.
+    :param replicas: returns the addresses of control processes for subscribers, None to send
+        none.
+    :ivar sidecars: provides admission ratios, None without sidecars.
     """
 
     def __init__(
@@ -61,9 +61,9 @@
         self.sidecars: SidecarSupport | None = None
 
     def send(self, subscriber: Subscriber) -> bool:
-        """Send what a subscriber has not seen; return whether there was anything.
+        """Send pending updates to a subscriber; return whether any were sent.
 
-        :raises ConnectionLostError: when its connection is gone.
+        :raises ConnectionLostError: when the connection is closed.
         """
         sent = self._send_replicas(subscriber)
         sent |= self._send_configuration(subscriber)
@@ -71,10 +71,10 @@
         sent |= self._send_shares(subscriber)
         return sent
 
-    def resume(self, subscriber: Subscriber) -> None:
-        """Note what a subscriber has already that restarts with the newest configuration."""
+    def mark_current(self, subscriber: Subscriber) -> None:
+        """Mark the rows as sent if the subscriber has the newest configuration already."""
         if subscriber.identity.version >= self._source.revision:
-            subscriber.sent_services = self.services_of(subscriber)
+            subscriber.sent_services = self.required_services(subscriber)
 
     def _send_replicas(self, subscriber: Subscriber) -> bool:
         addresses = self._replicas() if self._replicas is not None else []
@@ -113,25 +113,25 @@
         subscriber.sent_version = revision
 
     def _send_rows_of_services(self, subscriber: Subscriber) -> None:
-        """Send the rows that concern a node: those of its service and of what that calls."""
+        """Send the rows of a node's service and of the services that it calls."""
         delta = self._source.delta(subscriber.sent_version)
-        services = self.services_of(subscriber)
+        services = self.required_services(subscriber)
         if services != subscriber.sent_services:
-            # It now calls services whose rows and members it has never had.
+            # Rows and members of newly called services were never sent, so send all.
             subscriber.sent_services = services
             subscriber.sent_members = 0
             delta = self._source.delta(0)
         if services is not None:
-            delta.rows = [row for row in delta.rows if _is_for(row, services)]
+            delta.rows = [row for row in delta.rows if _concerns(row, services)]
         subscriber.records.send(delta)
         subscriber.sent_version = delta.version
 
-    def services_of(self, subscriber: Subscriber) -> frozenset[str] | None:
-        """Return the services a node needs to know, or None for all."""
+    def required_services(self, subscriber: Subscriber) -> frozenset[str] | None:
+        """Return the services whose rows and members a node needs, or None for all."""
         if subscriber.identity.everything:
             return None
-        own = subscriber.identity
-        value = self._source.value(f"service/{own.tenant}/{own.service}")
+        subscription = subscriber.identity
+        value = self._source.value(f"service/{subscription.tenant}/{subscription.service}")
         row = ServiceRow.unpack(value) if value else ServiceRow()
         ledgers = [f"{SYSTEM_TENANT}.{group}" for group in row.ledgers]
         return frozenset({subscriber.service, *row.calls, *ledgers})
@@ -157,14 +157,14 @@
         whole = subscriber.sent_members == 0
         changed, position = self._membership.since(subscriber.sent_members)
         subscriber.sent_members = position
-        members = [member for member in changed if _needs(subscriber, member)]
+        members = [member for member in changed if _is_relevant(subscriber, member)]
         if not members and not whole:
             return False
         subscriber.records.send(MemberDelta(whole, members))
         return True
 
     def _member_frame(self, sent: int) -> bytes:
-        """Return the frame with all members changed since a position; empty for none."""
+        """Return the frame with all members changed since a position, empty for none."""
         changed, _ = self._membership.since(sent)
         members = [member for member in changed if member.service]
         if not members and sent:
@@ -172,13 +172,13 @@
         return encode_frame(CONNECTION_CALL, MemberDelta(sent == 0, members))
 
 
-def _needs(subscriber: Subscriber, member: Member) -> bool:
+def _is_relevant(subscriber: Subscriber, member: Member) -> bool:
     services = subscriber.sent_services
     if not member.service:
         return False
     return services is None or f"{member.tenant}.{member.service}" in services
 
 
-def _is_for(row: ConfigRow, services: frozenset[str]) -> bool:
+def _concerns(row: ConfigRow, services: frozenset[str]) -> bool:
     kind, _, rest = row.key.partition("/")
     return kind == "tenant" or rest.replace("/", ".") in services
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -1,7 +1,7 @@
-"""Follows control: configuration and members in, heartbeats out.
+"""Subscription to control: receives configuration and members, and sends heartbeats.
 
-Owns the connection to one control process at a time and the choice of the next one. The
-configuration in force belongs to the process that follows.
+Owns the connection to one control process at a time and the selection of the next one. The
+adopted configuration belongs to the subscribing process.
 """
 
 from __future__ import annotations
@@ -32,22 +32,21 @@
 )
 from cranklane.runtime.interface import Address, Runtime, Storage, parse_address
 
-NEWER_SEEN_SECONDS = 4.0
-"""Time that other nodes may show a newer version before this one looks for another control
-process: its own may have lost touch without knowing it. A choice: above the 3 s after which a
-control process notices by itself."""
+NEWER_VERSION_GRACE_SECONDS = 4.0
+"""Time after another node shows a newer version until this node leaves its control process, which
+may be out of touch without having detected it. Above ``control.process.STALE_SECONDS``."""
 
 
 class Subscription:
-    """Keeps one connection to one of several control processes.
-
-    :param controls: addresses to start from; control may name others later.
-    :param identity: who this node is; versions are filled in here.
-    :param configuration: what is in force here; deltas are applied to it.
-    :param storage: keeps what was adopted over a restart; None keeps nothing.
-    :param follower: the process that follows.
-    :param log: for changes of the connection.
-    :ivar connected: whether a control process answers now.
+    """Keeps a connection to one of several control processes.
+
+    :param controls: initial addresses of control processes; control may announce others.
+    :param identity: identity of this node; the subscription fills in version and session.
+    :param configuration: the adopted configuration, to which deltas are applied.
+    :param storage: storage for the adopted configuration, None to save nothing.
+    :param follower: callbacks of the subscribing process.
+    :param log: logger of connection changes.
+    :ivar connected: whether a control process serves this node now.
     """
 
     def __init__(
@@ -66,69 +65,69 @@
         self._identity = identity
         self._configuration = configuration
         self._file = ConfigurationFile(storage) if storage is not None else None
-        self._named: list[Address] = []
+        self._announced: list[Address] = []
         self._timing = timing or FollowTiming()
         self._reconnect = Reconnect(self._timing.max_backoff)
         self._follower = follower
         self._log = log
         self._records: RecordConnection | None = None
         self._stopped = False
-        self._newer_since: float | None = None
+        self._newer_version_seen_at: float | None = None
         self.connected = False
-        self._earlier_received = 0
+        self._closed_bytes_received = 0
 
     @property
     def bytes_received(self) -> int:
-        """Bytes that came from control since the start."""
+        """Bytes received from control since startup."""
         records = self._records
-        return self._earlier_received + (records.bytes_received if records else 0)
+        return self._closed_bytes_received + (records.bytes_received if records else 0)
 
     def load(self) -> None:
-        """Put the configuration adopted before the last stop in force."""
+        """Adopt the saved configuration, if there is one."""
         saved = self._file.load() if self._file is not None else None
         if saved is not None and self._configuration.adopt(saved):
             self._follower.on_change()
 
     def follow(self) -> None:
-        """Follow control until told to stop."""
+        """Follow control until :meth:`stop`, with backoff between rounds of attempts."""
         while not self._stopped:
             self._identity.last_resort = False
             for address in self._candidates():
-                if not self._stopped and self._follow_one(address):
-                    self._reconnect.served()
-            self._reconnect.round_ended()
-            if self._reconnect.needs_any():
+                if not self._stopped and self._follow_process(address):
+                    self._reconnect.reset()
+            self._reconnect.end_round()
+            if self._reconnect.accepts_out_of_touch():
                 self._follow_out_of_touch()
-            gevent.sleep(self._reconnect.pause(self._runtime.random))
+            gevent.sleep(self._reconnect.next_pause(self._runtime.random))
 
     def _follow_out_of_touch(self) -> None:
-        """Follow the first control process that serves, in touch with its group or not.
+        """Follow the first control process that serves, even if it is out of touch.
 
-        One that knows the members around it is better than none.
+        Such a process still provides its local members.
         """
         self._identity.last_resort = True
         for address in self._candidates():
-            if not self._stopped and self._follow_one(address):
+            if not self._stopped and self._follow_process(address):
                 return
 
     def _candidates(self) -> list[Address]:
-        """Return the control processes to try: those named last, then the first ones."""
-        named = list(self._named)
+        """Return shuffled addresses to try: announced ones first, then the initial ones."""
+        named = list(self._announced)
         first = [address for address in self._controls if address not in named]
         self._runtime.random.shuffle(named)
         self._runtime.random.shuffle(first)
         return named + first
 
     def start_from(self, controls: Sequence[Address]) -> None:
-        """Replace the addresses to start from, as when the settings have changed."""
+        """Replace the initial addresses after a change of the settings."""
         self._controls = list(controls)
 
-    def _follow_one(self, address: Address) -> bool:
-        """Follow one control process until it is lost; return whether it served."""
+    def _follow_process(self, address: Address) -> bool:
+        """Follow one control process until the connection is lost; return whether it served."""
         try:
             connection = self._runtime.connect(address, self._reconnect.connect_seconds)
         except OSError:
-            # Another one is tried; that none answers shows in ``connected``.
+            # The next address is tried; ``connected`` shows that no process serves.
             return False
         records = RecordConnection(connection, self._timing.silent)
         try:
@@ -138,22 +137,22 @@
             self._records = records
             self._runtime.spawn(self._send_heartbeats, records)
             while True:
-                self._take(records)
+                self._receive(records)
         except (ConnectionLostError, MalformedRecordError) as error:
             return self._lost(records, error)
 
     def _renew_identity(self) -> None:
-        """Fill in what a new session states: the version in force and the own state."""
+        """Update session, version and state in the identity for a new connection."""
         identity = self._identity
         identity.version = self._configuration.version
         identity.session += 1
-        own = self._follower.heartbeat()
-        identity.state = own.state
-        identity.slots = own.slots
-        identity.instance = own.instance
-        identity.service = own.service or identity.service
+        current_state = self._follower.heartbeat()
+        identity.state = current_state.state
+        identity.slots = current_state.slots
+        identity.instance = current_state.instance
+        identity.service = current_state.service or identity.service
 
-    def _take(self, records: RecordConnection) -> None:
+    def _receive(self, records: RecordConnection) -> None:
         _, message = records.receive()
         if not self.connected:
             self.connected = True
@@ -164,7 +163,7 @@
             case MemberDelta():
                 self._follower.on_members(message)
             case ControlReplicas():
-                self._named = [parse_address(text) for text in message.addresses]
+                self._announced = [parse_address(text) for text in message.addresses]
             case HeartbeatAnswer() | TenantShares() if self._follower.on_answer is not None:
                 self._follower.on_answer(message)
             case IncarnationKnown():
@@ -174,27 +173,37 @@
             case _:
                 raise MalformedRecordError(f"{type(message).__name__} from control")
 
-    def _raise_incarnation(self, known: int) -> None:
-        """Subscribe again as newer than all that was known of this name.
+    def _raise_incarnation(self, newest_incarnation: int) -> None:
+        """Reconnect with an incarnation above the newest incarnation known to control.
 
-        Incarnations come from the clock of the day, which may have been ahead
-        when an earlier process of this name started.
+        Incarnations come from the wall clock, which may have been ahead when an earlier process
+        of this name started.
+
+        :raises ConnectionLostError: to subscribe again, if ``raises_incarnation`` is set.
         """
         if self._timing.raises_incarnation:
-            self._log.warning("incarnation_raised", known=known, own=self._identity.incarnation)
-            self._identity.incarnation = known + 1
-            raise ConnectionLostError("an earlier process of this name seemed newer")
+            self._log.warning(
+                "incarnation_raised",
+                known=newest_incarnation,
+                own=self._identity.incarnation,
+            )
+            self._identity.incarnation = newest_incarnation + 1
+            raise ConnectionLostError(
+                "control knows a newer incarnation of this name; subscribing with a higher one"
+            )
 
     def _adopt(self, records: RecordConnection, delta: ConfigDelta) -> None:
         if delta.version < self._configuration.version:
-            # An old replica: what is in force here stays.
+            # The control process is behind: keep the newer configuration.
             return
         if not delta.whole and delta.base != self._configuration.version:
-            raise MalformedRecordError("a configuration change is missing in between")
+            raise MalformedRecordError(
+                "the base of a configuration delta is not the current version"
+            )
         if self._file is not None:
             self._file.save(delta)
         self._configuration.adopt(delta)
-        self._newer_since = None
+        self._newer_version_seen_at = None
         self._follower.on_change()
         records.send(self._heartbeat())
 
@@ -211,35 +220,35 @@
             try:
                 records.send(self._heartbeat())
             except ConnectionLostError:
-                # The task that reads the connection follows another control process.
+                # The task that reads the connection tries another control process.
                 return
             gevent.sleep(self._timing.heartbeat)
-            self._leave_when_behind(records)
+            self._disconnect_if_behind(records)
 
     def newer_seen(self) -> None:
-        """Note that another node has shown a version newer than the one in force here.
+        """Record that another node has a newer configuration version.
 
-        Rows are not asked of that node: it holds those of other services, and a
-        version is in force only with all rows that concern this one.
+        Rows are requested only from control: the other node has rows of other services, and
+        a version is complete only with all rows for this node.
         """
-        if self._newer_since is None:
-            self._newer_since = self._runtime.monotonic()
+        if self._newer_version_seen_at is None:
+            self._newer_version_seen_at = self._runtime.monotonic()
 
-    def _leave_when_behind(self, records: RecordConnection) -> None:
-        since = self._newer_since
-        if since is not None and self._runtime.monotonic() - since > NEWER_SEEN_SECONDS:
-            self._newer_since = None
+    def _disconnect_if_behind(self, records: RecordConnection) -> None:
+        since = self._newer_version_seen_at
+        if since is not None and self._runtime.monotonic() - since > NEWER_VERSION_GRACE_SECONDS:
+            self._newer_version_seen_at = None
             self._log.warning("control_behind", version=self._configuration.version)
             records.close()
 
     def announce(self) -> None:
-        """Send a heartbeat now, after the node's own state has changed."""
+        """Send a heartbeat immediately after a change of this node's state."""
         self.send(self._heartbeat)
 
     def send(self, make: Callable[[], Message | None]) -> None:
-        """Send a record to control, if it is connected; otherwise make none.
+        """Create a record and send it to control, if connected.
 
-        :param make: returns the record, None for nothing to send.
+        :param make: returns the record, or None to send nothing.
         """
         records = self._records
         if records is None or records.closed:
@@ -250,19 +259,19 @@
         try:
             records.send(message)
         except ConnectionLostError:
-            # Its reader sees the same and looks for another control process.
+            # The task that reads the connection tries another control process.
             return
 
     def stop(self) -> None:
-        """Follow control no more; a replacement of the same name may be there already."""
+        """Stop following control; a replacement with the same name may be running already."""
         self._stopped = True
         if self._records is not None:
             self._records.close()
 
     def _lost(self, records: RecordConnection, error: Exception) -> bool:
-        """Clean up after a connection ended; return whether it had served."""
+        """Clean up after a lost connection; return whether the control process served."""
         records.close()
-        self._earlier_received += records.bytes_received
+        self._closed_bytes_received += records.bytes_received
         if self._records is records:
             self._records = None
         served = self.connected
--- a/tests/test_members_of_control.py
+++ b/tests/test_members_of_control.py
@@ -1,4 +1,4 @@
-"""When control counts a member as lost, whose report goes first, and who may subscribe."""
+"""Membership leases, precedence of reports, and admission of subscribers."""
 
 from __future__ import annotations
 
@@ -51,8 +51,8 @@
     return [item.node for item in members]
 
 
-def test_an_own_member_is_silent_after_its_lease(membership, clock):
-    membership.subscribed(node())
+def test_a_subscriber_is_silent_after_its_lease(membership, clock):
+    membership.add_subscriber(node())
     clock.now += LEASE_SECONDS
     assert membership.expire() == []
     clock.now += 0.001
@@ -62,7 +62,7 @@
 
 
 def test_a_heartbeat_renews_the_lease_only_of_its_incarnation(membership, clock):
-    membership.subscribed(node(incarnation=2))
+    membership.add_subscriber(node(incarnation=2))
     clock.now += LEASE_SECONDS
     membership.heartbeat(node(incarnation=2), Heartbeat(incarnation=2))
     clock.now += LEASE_SECONDS
@@ -72,28 +72,28 @@
     assert names(membership.expire()) == ["n"]
 
 
-def test_a_member_of_another_process_stays_for_that_processs_lease(membership, clock):
-    membership.take_report(report(member()))
+def test_a_reported_member_stays_for_the_lease_of_its_owner(membership, clock):
+    membership.apply_report(report(member()))
     clock.now += OWNER_LEASE_SECONDS
     assert membership.expire() == []
-    membership.take_report(report())
+    membership.apply_report(report())
     clock.now += OWNER_LEASE_SECONDS
     assert membership.expire() == []
     clock.now += 0.001
     assert names(membership.expire()) == ["n"]
 
 
-def test_a_member_silent_with_its_owner_returns_with_the_owners_next_report(membership, clock):
-    membership.take_report(report(member()))
+def test_a_member_of_a_silent_owner_returns_with_the_owners_next_report(membership, clock):
+    membership.apply_report(report(member()))
     clock.now += OWNER_LEASE_SECONDS + 1
     membership.expire()
-    membership.take_report(report(member()))
+    membership.apply_report(report(member()))
     assert names(membership.members()) == ["n"]
 
 
-def test_a_member_that_a_restarted_owner_does_not_name_gets_a_lease_of_its_own(membership, clock):
-    membership.take_report(report(member("n"), member("m")))
-    membership.take_report(report(member("m"), whole=True))
+def test_a_member_not_listed_by_a_restarted_owner_gets_its_own_lease(membership, clock):
+    membership.apply_report(report(member("n"), member("m")))
+    membership.apply_report(report(member("m"), whole=True))
     clock.now += LEASE_SECONDS
     assert membership.expire() == []
     clock.now += 0.001
@@ -108,18 +108,18 @@
         (2, 0, MemberState.LIVE),
     ],
 )
-def test_the_newest_session_of_the_newest_incarnation_goes_first(
+def test_the_newest_session_of_the_newest_incarnation_takes_precedence(
     membership, incarnation, session, state
 ):
     draining = member(sequence=(1 << SESSION_SHIFT) + 1, state=MemberState.DRAINING)
-    membership.take_report(report(draining))
-    membership.subscribed(node(incarnation=incarnation, session=session))
+    membership.apply_report(report(draining))
+    membership.add_subscriber(node(incarnation=incarnation, session=session))
     assert membership.members()[0].state == state
 
 
 def test_only_members_of_this_process_are_reported(membership):
-    membership.subscribed(node("own"))
-    membership.take_report(report(member("others")))
+    membership.add_subscriber(node("own"))
+    membership.apply_report(report(member("others")))
     first, position = membership.report_since(0)
     assert (first.whole, names(first.members)) == (True, ["own"])
     assert membership.report_since(position)[0].members == []
@@ -142,10 +142,10 @@
     assert contact.admits(last_resort) is admitted
 
 
-def test_a_process_out_of_touch_sends_away_all_but_recent_last_resorts(clock):
+def test_a_process_out_of_touch_keeps_only_recent_last_resort_subscriptions(clock):
     contact = GroupContact(TIMING, clock)
     clock.now += 20.0
     assert not contact.in_touch
-    assert contact.oldest_allowed() == (120.0, 110.0)
-    contact.confirm()
+    assert contact.subscription_cutoffs() == (120.0, 110.0)
+    contact.record_contact()
     assert contact.in_touch
--- a/tests/test_publisher_frames.py
+++ b/tests/test_publisher_frames.py
@@ -1,4 +1,4 @@
-"""What many subscribers get alike is made once for all of them."""
+"""Frames that many subscribers get are encoded only once."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 CONTROLLERS = 3
 
 
-def counted(monkeypatch, owner, name):
+def record_calls(monkeypatch, owner, name):
     calls = []
     original = getattr(owner, name)
 
-    def counting(self, *arguments):
+    def recording(self, *arguments):
         calls.append(arguments)
         return original(self, *arguments)
 
-    monkeypatch.setattr(owner, name, counting)
+    monkeypatch.setattr(owner, name, recording)
     return calls
 
 
-def test_a_changed_route_table_is_packed_once_for_all_subscribers(monkeypatch):
-    calls = counted(monkeypatch, RouteTableStore, "delta")
+def test_a_changed_route_table_is_encoded_once_for_all_subscribers(monkeypatch):
+    calls = record_calls(monkeypatch, RouteTableStore, "delta")
 
     def script(mesh):
         calls.clear()
@@ -40,16 +40,16 @@
     assert len(calls) <= CONTROLLERS
 
 
-def test_a_member_that_leaves_is_told_in_frames_made_once_for_all_subscribers(monkeypatch):
-    calls = counted(monkeypatch, Membership, "since")
+def test_a_member_change_is_encoded_once_for_all_subscribers(monkeypatch):
+    calls = record_calls(monkeypatch, Membership, "since")
 
     def script(mesh):
         calls.clear()
         leaving = mesh.machines[0]
         assert leaving.worker.drain() == 200
         gevent.sleep(1.0)
-        others = [machine.sidecar.destinations for machine in mesh.machines[1:]]
-        return {item._by_node[leaving.name].state.name for item in others}
+        other_destinations = [machine.sidecar.destinations for machine in mesh.machines[1:]]
+        return {item._by_node[leaving.name].state.name for item in other_destinations}
 
     assert play(script, services=SERVICES) == {"DRAINING"}
     assert len(calls) <= 4 * CONTROLLERS
@@ -57,11 +57,11 @@
 
 def test_frames_of_an_older_state_are_made_anew():
     frames = NewestFrames()
-    made = []
+    encoded_names = []
 
     def frame(name):
         def make():
-            made.append(name)
+            encoded_names.append(name)
             return name
 
         return make
@@ -70,4 +70,4 @@
     assert frames.get((1, 3), frame(b"again")) == b"1-3"
     assert frames.get((2, 3), frame(b"2-3")) == b"2-3"
     assert frames.get((1, 4), frame(b"1-4")) == b"1-4"
-    assert made == [b"1-3", b"2-3", b"1-4"]
+    assert encoded_names == [b"1-3", b"2-3", b"1-4"]
--- a/tests/test_reconnect.py
+++ b/tests/test_reconnect.py
@@ -1,4 +1,4 @@
-"""How a follower of control spaces its attempts."""
+"""Connect timeouts and backoff of a follower of control."""
 
 from __future__ import annotations
 
@@ -15,24 +15,26 @@
 )
 
 
-class Middle(Random):
-    """Draws the mean always."""
+class MeanRandom(Random):
+    """Random source that always returns the mean."""
 
     def random(self):
         return 0.5
 
 
 def rounds(reconnect, count):
-    """Return (connection time, needs any, pause) of rounds in which none served."""
-    seen = []
+    """Return (connect timeout, accepts out of touch, pause) of rounds in which none served."""
+    results = []
     for _ in range(count):
         connect = reconnect.connect_seconds
-        reconnect.round_ended()
-        seen.append((connect, reconnect.needs_any(), reconnect.pause(Middle())))
-    return seen
+        reconnect.end_round()
+        results.append(
+            (connect, reconnect.accepts_out_of_touch(), reconnect.next_pause(MeanRandom()))
+        )
+    return results
 
 
-def test_connections_and_pauses_grow_round_by_round():
+def test_connect_timeouts_and_pauses_grow_by_round():
     assert rounds(Reconnect(), 4) == [
         (FIRST_CONNECT_SECONDS, False, pytest.approx(MIN_BACKOFF_SECONDS)),
         (2 * FIRST_CONNECT_SECONDS, True, pytest.approx(2 * MIN_BACKOFF_SECONDS)),
@@ -45,15 +47,15 @@
     reconnect = Reconnect()
     rounds(reconnect, 10)
     random = Random(3)
-    pauses = [reconnect.pause(random) for _ in range(500)]
+    pauses = [reconnect.next_pause(random) for _ in range(500)]
     assert min(pauses) >= 0.5 * MAX_BACKOFF_SECONDS
     assert max(pauses) <= 1.5 * MAX_BACKOFF_SECONDS
-    assert Reconnect(0.2).pause(Middle()) == pytest.approx(MIN_BACKOFF_SECONDS)
+    assert Reconnect(0.2).next_pause(MeanRandom()) == pytest.approx(MIN_BACKOFF_SECONDS)
     assert rounds(Reconnect(0.2), 5)[-1][2] == pytest.approx(0.2)
 
 
-def test_a_control_process_that_served_starts_the_rounds_anew():
+def test_a_control_process_that_served_resets_the_backoff():
     reconnect = Reconnect()
     first = rounds(reconnect, 5)
-    reconnect.served()
+    reconnect.reset()
     assert rounds(reconnect, 5) == first
--- a/tests/test_row_history.py
+++ b/tests/test_row_history.py
@@ -1,4 +1,4 @@
-"""Rows by revision, as both stores keep them."""
+"""Rows ordered by the revision of their last change."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     ("revision", "keys"),
     [(0, ["b", "a", "c"]), (1, ["b", "a", "c"]), (2, ["a", "c"]), (4, ["c"]), (5, [])],
 )
-def test_rows_changed_since_a_revision_come_in_the_order_of_their_changes(rows, revision, keys):
+def test_rows_since_a_revision_are_in_order_of_change(rows, revision, keys):
     assert [row.key for row in rows.since(revision)] == keys
 
 
@@ -34,7 +34,7 @@
     assert len(rows) == 3
 
 
-def test_a_difference_names_new_changed_and_deleted_rows(rows):
+def test_a_difference_contains_new_changed_and_deleted_rows(rows):
     difference = rows.difference({"a": b"3", "b": b"new", "c": b"back", "d": b"added"})
     assert difference.changed == {"b": b"new", "c": b"back", "d": b"added"}
     assert difference.deleted == []
