--- a/src/cranklane/replication/membership_change.py
+++ b/src/cranklane/replication/membership_change.py
@@ -164,8 +164,8 @@
             # Replicas had too little time to answer this leader.
             return False
         for member in voters:
-            own = member.identity == self._replica.identity
-            if not own and not leadership.replied_within(member.identity, seconds):
+            is_self = member.identity == self._replica.identity
+            if not is_self and not leadership.replied_within(member.identity, seconds):
                 self._replica.event_log.warning("silent_voter_removed", replica=member.name)
                 return isinstance(self.remove(member.name), Ok)
         return False
