--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -21,7 +21,7 @@
 from cranklane.replication.peer_service import PeerService
 from cranklane.replication.port import ReplicaPort
 from cranklane.replication.replica import Replica
-from cranklane.replication.state import ReplicaIdentity
+from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
     ADDRESS,
@@ -93,7 +93,7 @@
         )
         self.membership = self._nodes.membership
         self.publisher = self._nodes.publisher
-        identity = ReplicaIdentity(GROUP, settings.name, settings.listen, settings.http)
+        identity = ReplicaInfo(GROUP, settings.name, settings.listen, settings.http)
         storage = runtime.storage(settings.data)
         self.replica = Replica(
             runtime, storage, self.store, identity, self.publisher.changed, self._log
--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -28,7 +28,7 @@
 from cranklane.replication.port import ReplicaPort
 from cranklane.replication.replica import Replica
 from cranklane.replication.self_assembly import SelfAssembly
-from cranklane.replication.state import ReplicaIdentity
+from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
     ADDRESS,
@@ -114,7 +114,7 @@
         settings = self.settings
         # An address belongs to one machine at a time, so it names a replica.
         address = settings.advertise or settings.listen
-        identity = ReplicaIdentity(GROUP, address, address, settings.http)
+        identity = ReplicaInfo(GROUP, address, address, settings.http)
         storage = self.runtime.storage(settings.data)
         return Replica(self.runtime, storage, self.store, identity, self._applied, self._log)
 
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -22,7 +22,7 @@
 from cranklane.replication.peer_service import PeerService
 from cranklane.replication.port import ReplicaPort
 from cranklane.replication.replica import Replica
-from cranklane.replication.state import ReplicaIdentity
+from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
     ADDRESS,
@@ -73,7 +73,7 @@
             runtime,
             runtime.storage(settings.data),
             self.store,
-            ReplicaIdentity(f"ledger/{settings.group}", settings.name, settings.listen),
+            ReplicaInfo(f"ledger/{settings.group}", settings.name, settings.listen),
             lambda: None,
             self._log,
         )
--- a/src/cranklane/replication/replica.py
+++ b/src/cranklane/replication/replica.py
@@ -22,7 +22,7 @@
 from cranklane.replication.election import Election
 from cranklane.replication.leadership import Leadership
 from cranklane.replication.proposals import ProposalFailure, Proposals
-from cranklane.replication.state import EntryKind, ReplicaIdentity, ReplicaState
+from cranklane.replication.state import EntryKind, ReplicaInfo, ReplicaState
 from cranklane.replication.state_machine import StateMachine
 from cranklane.runtime.interface import Runtime, Storage
 
@@ -40,7 +40,7 @@
         runtime: Runtime,
         storage: Storage,
         state_machine: StateMachine,
-        own: ReplicaIdentity,
+        own: ReplicaInfo,
         on_apply: Callable[[], None],
         event_log: Any,
     ) -> None:
--- a/src/cranklane/replication/state.py
+++ b/src/cranklane/replication/state.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True)
-class ReplicaIdentity:
+class ReplicaInfo:
     """Group, name and addresses of a replica, from its settings.
 
     :ivar address: address for other replicas.
@@ -55,7 +55,7 @@
     """
 
     def __init__(
-        self, runtime: Runtime, storage: Storage, own: ReplicaIdentity, event_log: Any
+        self, runtime: Runtime, storage: Storage, own: ReplicaInfo, event_log: Any
     ) -> None:
         self.runtime = runtime
         self.own = own
