--- a/src/cranklane/replication/applier.py
+++ b/src/cranklane/replication/applier.py
@@ -69,14 +69,14 @@
         if nothing_new or state.log.size < snapshot_threshold(state.log.snapshot_size):
             return
         try:
-            with state.changing:
+            with state.state_lock:
                 self.compact()
         except OSError as error:
             # The log stays usable; the next applied entry retries the compaction.
             state.event_log.error("disk_failed", error=str(error))
 
     def compact(self) -> None:
-        """Replace the applied entries by a snapshot. The caller holds ``changing``.
+        """Replace the applied entries by a snapshot. The caller holds ``state_lock``.
 
         :raises OSError: when a write fails.
         """
@@ -104,7 +104,7 @@
         state.commit_index = state.applied_index = snapshot.index
 
     def install(self, snapshot: LogSnapshot) -> None:
-        """Replace log and state by a leader's snapshot. The caller holds ``changing``.
+        """Replace log and state by a leader's snapshot. The caller holds ``state_lock``.
 
         :raises OSError: when a write fails.
         """
--- a/src/cranklane/replication/membership_change.py
+++ b/src/cranklane/replication/membership_change.py
@@ -113,7 +113,7 @@
             return Err(ChangeFailure.QUORUM_AT_RISK)
         removed = self._propose_members(remaining)
         if isinstance(removed, Ok) and member.identity == replica.identity:
-            with replica.changing:
+            with replica.state_lock:
                 replica.step_down()
         return removed
 
--- a/src/cranklane/replication/peer_service.py
+++ b/src/cranklane/replication/peer_service.py
@@ -85,7 +85,7 @@
 
     def _vote(self, request: VoteRequest) -> VoteReply:
         replica = self._replica
-        with replica.changing:
+        with replica.state_lock:
             if voting.may_support_a_lease(self._voter(), request):
                 return VoteReply(replica.term, False)
             if request.trial:
@@ -110,7 +110,7 @@
 
     def _append(self, request: AppendRequest) -> AppendReply:
         replica = self._replica
-        with replica.changing:
+        with replica.state_lock:
             if request.term < replica.term:
                 return AppendReply(replica.term, False, 0, replica.log.last_index)
             replica.follow(request.term, request.leader, request.leased)
@@ -149,7 +149,7 @@
 
     def _receive_snapshot(self, chunk: SnapshotChunk) -> SnapshotReply:
         replica = self._replica
-        with replica.changing:
+        with replica.state_lock:
             if chunk.term < replica.term:
                 return SnapshotReply(replica.term, 0)
             replica.follow(chunk.term, chunk.leader, leased=False)
--- a/src/cranklane/replication/replica.py
+++ b/src/cranklane/replication/replica.py
@@ -119,7 +119,7 @@
         leadership = self.leadership
         if leadership is None:
             return Err(ProposalFailure.NOT_LEADER)
-        with self.changing:
+        with self.state_lock:
             if self.leadership is not leadership:
                 return Err(ProposalFailure.NOT_LEADER)
             try:
@@ -165,14 +165,14 @@
         return self._applier.snapshot()
 
     def compact(self) -> None:
-        """Replace the applied entries by a snapshot. The caller holds ``changing``.
+        """Replace the applied entries by a snapshot. The caller holds ``state_lock``.
 
         :raises OSError: when a write fails.
         """
         self._applier.compact()
 
     def install(self, snapshot: LogSnapshot) -> None:
-        """Replace log and state by a leader's snapshot. The caller holds ``changing``.
+        """Replace log and state by a leader's snapshot. The caller holds ``state_lock``.
 
         :raises OSError: when a write fails.
         """
@@ -181,7 +181,7 @@
     # Terms.
 
     def adopt_term(self, term: int) -> None:
-        """Adopt a term if it is newer, and step down. The caller holds ``changing``.
+        """Adopt a term if it is newer, and step down. The caller holds ``state_lock``.
 
         :raises OSError: when the term cannot be written.
         """
@@ -193,7 +193,7 @@
     def on_newer_term(self, term: int) -> None:
         """Adopt a newer term found in a reply."""
         try:
-            with self.changing:
+            with self.state_lock:
                 self.adopt_term(term)
         except OSError as error:
             self._handle_disk_failure(error)
@@ -205,7 +205,7 @@
 
         :raises OSError: when the vote cannot be written.
         """
-        with self.changing:
+        with self.state_lock:
             if self.leadership is not None:
                 return False
             self.votes.save(self.term + 1, self.identity)
@@ -215,7 +215,7 @@
     # Roles.
 
     def follow(self, term: int, leader: int, leased: bool) -> None:
-        """Follow the leader of a term. The caller holds ``changing``.
+        """Follow the leader of a term. The caller holds ``state_lock``.
 
         :param leased: whether the leader reports that it has the lease.
         :raises OSError: when the vote cannot be written.
@@ -233,7 +233,7 @@
 
     def lead(self, term: int) -> None:
         """Become leader of a term won by a quorum of votes, unless the term has changed."""
-        with self.changing:
+        with self.state_lock:
             if self.term != term or self.leadership is not None:
                 return
             leadership = Leadership(self, term, self.on_newer_term)
--- a/src/cranklane/replication/state.py
+++ b/src/cranklane/replication/state.py
@@ -51,7 +51,7 @@
     :ivar commit_index: index of the newest entry known to be committed.
     :ivar applied_index: index of the newest applied entry.
     :ivar committed: set when there are committed entries to apply.
-    :ivar changing: lock for changes of log, vote and term.
+    :ivar state_lock: lock for changes of log, vote and term.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self.commit_index = 0
         self.applied_index = 0
         self.committed = Event()
-        self.changing = Semaphore()
+        self.state_lock = Semaphore()
         self._links: dict[str, ReplicaLink] = {}
 
     @property
--- a/src/cranklane_lab/scenarios/control.py
+++ b/src/cranklane_lab/scenarios/control.py
@@ -234,7 +234,7 @@
     gevent.sleep(run.world.random.uniform(0.2, 2.0))
     run.fleet.start_control(number, process.host)
     for control in run.fleet.controls:
-        with control.replica.changing:
+        with control.replica.state_lock:
             control.replica.compact()
 
 
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -106,7 +106,7 @@
     def script(control):
         operator = control.operator("a-desk")
         operator.edit("a", TEXT, 0, "r1")
-        with control.process.replica.changing:
+        with control.process.replica.state_lock:
             control.process.replica.compact()
         control.machine.kill(power_lost=True)
         machine = control.world.process("control", "z", control.machine.host)
