--- a/src/cranklane/control/status.py
+++ b/src/cranklane/control/status.py
@@ -81,7 +81,7 @@
             "leads": member.identity == self._replica.leader,
             "address": member.address,
             "http": member.http,
-            "durable_index": leadership.matched.get(member.identity) if leadership else None,
+            "durable_index": leadership.match_index.get(member.identity) if leadership else None,
         }
 
     def nodes_behind(self, version: int) -> list[str]:
--- a/src/cranklane/replication/leadership.py
+++ b/src/cranklane/replication/leadership.py
@@ -40,7 +40,7 @@
 
     :param on_newer_term: called with a newer term found in a reply.
     :ivar term: the term of this leadership.
-    :ivar matched: index of the newest durable entry by replica identity.
+    :ivar match_index: index of the newest durable entry by replica identity.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self._on_newer_term = on_newer_term
         self.term = term
         self._started_at = state.runtime.monotonic()
-        self.matched: dict[int, int] = {}
+        self.match_index: dict[int, int] = {}
         self._answered_request_sent_at: dict[int, float] = {}
         self._replicating_to: set[int] = set()
         self._wakeups: dict[int, Event] = {}
@@ -145,7 +145,7 @@
         self._answered_request_sent_at[member.identity] = sent_at
         if not reply.success:
             return max(1, min(next_index - 1, reply.last + 1))
-        self.matched[member.identity] = reply.match
+        self.match_index[member.identity] = reply.match
         self._commit()
         return reply.match + 1
 
@@ -179,7 +179,7 @@
 
     def record_local_sync(self, index: int) -> None:
         """Record that the leader's log is durable up to an index."""
-        self.matched[self._state.identity] = index
+        self.match_index[self._state.identity] = index
         self._commit()
 
     def _commit(self) -> None:
@@ -188,7 +188,7 @@
         if self._ended:
             return
         durable = sorted(
-            (self.matched.get(member.identity, 0) for member in state.members.voters()),
+            (self.match_index.get(member.identity, 0) for member in state.members.voters()),
             reverse=True,
         )
         quorum = state.members.quorum()
@@ -226,4 +226,4 @@
 
     def caught_up(self, identity: int) -> bool:
         """Return whether a replica has all committed entries on disk."""
-        return self.matched.get(identity, 0) >= self._state.commit_index
+        return self.match_index.get(identity, 0) >= self._state.commit_index
