--- a/src/cranklane/distribution/member_state.py
+++ b/src/cranklane/distribution/member_state.py
@@ -16,6 +16,6 @@
     """The member's lease expired: it is gone or partitioned from control."""
 
     @property
-    def is_there(self) -> bool:
+    def is_present(self) -> bool:
         """Whether control lists the member as present."""
         return self in (MemberState.LIVE, MemberState.DRAINING)
--- a/src/cranklane/distribution/membership.py
+++ b/src/cranklane/distribution/membership.py
@@ -293,4 +293,4 @@
 
 
 def _is_present(member: Member) -> bool:
-    return MemberState(member.state).is_there
+    return MemberState(member.state).is_present
--- a/src/cranklane/node/members.py
+++ b/src/cranklane/node/members.py
@@ -137,7 +137,7 @@
             order = (known.incarnation, known.sequence)
             if (member.incarnation, member.sequence) < order:
                 return []
-        if not MemberState(member.state).is_there:
+        if not MemberState(member.state).is_present:
             removed = members.pop(member.node, None)
             return [removed] if removed is not None else []
         if known is None or known.incarnation != member.incarnation:
--- a/src/cranklane/sidecar/quarantine/sidecar_directory.py
+++ b/src/cranklane/sidecar/quarantine/sidecar_directory.py
@@ -62,7 +62,7 @@
 
     def _apply(self, member: Member, now: float) -> None:
         known = self._by_node.get(member.node)
-        if MemberState(member.state).is_there:
+        if MemberState(member.state).is_present:
             address = parse_address(member.address)
             self._by_node[member.node] = OtherSidecar(member.node, member.service, address)
         elif known is not None and known.away_since is None:
