--- a/src/cranklane/distribution/node_service.py
+++ b/src/cranklane/distribution/node_service.py
@@ -114,7 +114,7 @@
                 out_of_touch = not out_of_touch
                 self._log.warning("out_of_touch" if out_of_touch else "in_touch")
             if out_of_touch:
-                self.publisher.send_away(*self._contact.subscription_cutoffs())
+                self.publisher.end_subscriptions(*self._contact.subscription_cutoffs())
 
     def _expire(self) -> None:
         """Mark members with an expired lease; runs until the process ends."""
--- a/src/cranklane/distribution/publisher.py
+++ b/src/cranklane/distribution/publisher.py
@@ -117,7 +117,7 @@
         """Return the number of subscribers that sent a record since a monotonic second."""
         return sum(item.last_record_at >= moment for item in self.subscribers.values())
 
-    def send_away(self, before: float, last_resort_before: float) -> int:
+    def end_subscriptions(self, before: float, last_resort_before: float) -> int:
         """Close connections of subscribers, so that they find another control process.
 
         :param before: monotonic second; older ordinary subscriptions are ended.
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -194,7 +194,7 @@
 
 def _subscribers_kept() -> list[Replacement]:
     return [
-        Replacement(Publisher, "send_away", lambda _self, *_limits: 0),
+        Replacement(Publisher, "end_subscriptions", lambda _self, *_limits: 0),
         Replacement(Subscription, "newer_seen", lambda _self: None),
     ]
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -201,7 +201,7 @@
 
 def test_a_node_leaves_a_control_process_that_is_behind_its_peers(monkeypatch):
     """Guards the node's check for a control process that does not detect its own partition."""
-    monkeypatch.setattr(Publisher, "send_away", lambda _self, *_limits: 0)
+    monkeypatch.setattr(Publisher, "end_subscriptions", lambda _self, *_limits: 0)
     # One zone, so that every node gets calls with the newer version.
     deployment = replace(chain(2, workers=2), zones=("zone-a",))
 
