--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -225,7 +225,7 @@
             gevent.sleep(self._timing.heartbeat)
             self._disconnect_if_behind(records)
 
-    def newer_seen(self) -> None:
+    def on_newer_version(self) -> None:
         """Record that another node has a newer configuration version.
 
         Rows are requested only from control: the other node has rows of other services, and
--- a/src/cranklane/node/process.py
+++ b/src/cranklane/node/process.py
@@ -203,7 +203,7 @@
 
     def _newer_version_seen(self) -> None:
         self.metrics.event("newer_version_seen")
-        self.subscription.newer_seen()
+        self.subscription.on_newer_version()
 
     def _ejected(self, member: MemberView) -> None:
         self._log.warning("member_ejected", member=member.node, failures=member.failures)
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -195,7 +195,7 @@
 def _subscribers_kept() -> list[Replacement]:
     return [
         Replacement(Publisher, "end_subscriptions", lambda _self, *_limits: 0),
-        Replacement(Subscription, "newer_seen", lambda _self: None),
+        Replacement(Subscription, "on_newer_version", lambda _self: None),
     ]
 
 
