--- a/src/cranklane/distribution/shared_frames.py
+++ b/src/cranklane/distribution/shared_frames.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 
-class NewestFrames:
+class SharedFrameCache:
     """Encoded deltas from base positions to the newest position.
 
     Subscribers of everything with the same base share a frame. A newer position clears the
--- a/src/cranklane/distribution/subscriber_updates.py
+++ b/src/cranklane/distribution/subscriber_updates.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 from cranklane.distribution.membership import Membership
-from cranklane.distribution.shared_frames import NewestFrames
+from cranklane.distribution.shared_frames import SharedFrameCache
 from cranklane.distribution.sidecar_support import SidecarSupport
 from cranklane.distribution.subscriber import Subscriber
 from cranklane.policy.names import SYSTEM_TENANT
@@ -56,8 +56,8 @@
         self._source = source
         self._membership = membership
         self._replicas = replicas
-        self._configuration_frames = NewestFrames()
-        self._member_frames = NewestFrames()
+        self._configuration_frames = SharedFrameCache()
+        self._member_frames = SharedFrameCache()
         self.sidecars: SidecarSupport | None = None
 
     def send(self, subscriber: Subscriber) -> bool:
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -22,7 +22,7 @@
 import test_worker_condition
 from cranklane.controller.route_store import RouteTableStore
 from cranklane.controller.row_changes import RowChanges
-from cranklane.distribution.shared_frames import NewestFrames
+from cranklane.distribution.shared_frames import SharedFrameCache
 from cranklane.outcome import Outcome
 from cranklane.replication import voting
 from cranklane.replication.election import Election
@@ -206,7 +206,7 @@
         lambda: test_subsets.test_a_subset_in_trouble_is_widened("loaded"),
     ),
     "frames made once": (
-        NewestFrames,
+        SharedFrameCache,
         "get",
         lambda self, span, make: make(),
         test_publisher_frames.test_frames_of_an_older_state_are_made_anew,
--- a/tests/test_publisher_frames.py
+++ b/tests/test_publisher_frames.py
@@ -6,7 +6,7 @@
 
 from cranklane.controller.route_store import RouteTableStore
 from cranklane.distribution.membership import Membership
-from cranklane.distribution.shared_frames import NewestFrames
+from cranklane.distribution.shared_frames import SharedFrameCache
 from cranklane_lab.simulation.mesh import route_table
 from mesh_support import ROUTES, play
 
@@ -56,7 +56,7 @@
 
 
 def test_frames_of_an_older_state_are_made_anew():
-    frames = NewestFrames()
+    frames = SharedFrameCache()
     encoded_names = []
 
     def frame(name):
