--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -118,7 +118,7 @@
         self._runtime.random.shuffle(first)
         return named + first
 
-    def start_from(self, controls: Sequence[Address]) -> None:
+    def set_initial_controls(self, controls: Sequence[Address]) -> None:
         """Replace the initial addresses after a change of the settings."""
         self._controls = list(controls)
 
--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -99,7 +99,7 @@
 
     def reload(self, settings: SidecarSettings) -> None:
         """Start from other seeds the next time that control is looked for."""
-        self.subscription.start_from(_controllers(settings))
+        self.subscription.set_initial_controls(_controllers(settings))
 
     def announce(self) -> None:
         """Report this sidecar's state now, not with the next heartbeat."""
