--- a/src/cranklane/replication/join_request.py
+++ b/src/cranklane/replication/join_request.py
@@ -14,9 +14,9 @@
     :param voter: whether this replica is to become a voter.
     :param timeout: in seconds.
     """
-    own = state.own
+    info = state.info
     link = ReplicaLink(state.runtime, address, state.hello())
-    request = JoinRequest(state.identity, voter, own.name, own.address, own.http)
+    request = JoinRequest(state.identity, voter, info.name, info.address, info.http)
     try:
         return link.call(request, JoinReply, timeout)
     finally:
--- a/src/cranklane/replication/joining.py
+++ b/src/cranklane/replication/joining.py
@@ -33,7 +33,7 @@
 
     def __init__(self, replica: Replica, peers: Sequence[str], founder: bool, voter: bool) -> None:
         self._replica = replica
-        self._peers = [peer for peer in peers if peer != replica.own.address]
+        self._peers = [peer for peer in peers if peer != replica.info.address]
         self._founder = founder
         self._voter = voter
 
@@ -46,9 +46,9 @@
                 break
             if not waiting:
                 waiting = True
-                replica.event_log.info("waiting_for_group", group=replica.own.group)
+                replica.event_log.info("waiting_for_group", group=replica.info.group)
             gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
-        replica.event_log.info("joined_group", group=replica.own.group, name=replica.own.name)
+        replica.event_log.info("joined_group", group=replica.info.group, name=replica.info.name)
 
     def _ask_replicas(self) -> bool:
         """Send join requests to all replicas; return whether this replica is a member."""
--- a/src/cranklane/replication/peer_service.py
+++ b/src/cranklane/replication/peer_service.py
@@ -49,7 +49,7 @@
         """
         try:
             records.send(self._replica.hello())
-            if hello.group != self._replica.own.group:
+            if hello.group != self._replica.info.group:
                 return
             while True:
                 _, message = records.receive()
--- a/src/cranklane/replication/replica.py
+++ b/src/cranklane/replication/replica.py
@@ -40,11 +40,11 @@
         runtime: Runtime,
         storage: Storage,
         state_machine: StateMachine,
-        own: ReplicaInfo,
+        info: ReplicaInfo,
         on_apply: Callable[[], None],
         event_log: Any,
     ) -> None:
-        super().__init__(runtime, storage, own, event_log)
+        super().__init__(runtime, storage, info, event_log)
         self.leadership: Leadership | None = None
         self.election = Election(state=self, candidate=self)
         self._proposals = Proposals()
@@ -101,8 +101,8 @@
         """
         term = max(1, self.log.last_term)
         self.votes.save(term, self.identity)
-        own = self.own
-        founder = ReplicaMember(self.identity, True, False, own.name, own.address, own.http)
+        info = self.info
+        founder = ReplicaMember(self.identity, True, False, info.name, info.address, info.http)
         data = ReplicaSet([founder]).pack()
         entry = LogEntry(term, self.log.last_index + 1, EntryKind.MEMBERS, data)
         self.log.append([entry])
@@ -226,7 +226,7 @@
             self.votes.save(term, leader)
         if self.leader != leader:
             self.leader = leader
-            self.event_log.info("following", group=self.own.group, term=term)
+            self.event_log.info("following", group=self.info.group, term=term)
         self.election.restart_timer()
         if leased:
             self.election.leased_heartbeat()
@@ -244,7 +244,7 @@
                 return
             self.leader = self.identity
             self.leadership = leadership
-        self.event_log.info("leading", group=self.own.group, term=term)
+        self.event_log.info("leading", group=self.info.group, term=term)
         self._sync_requested.set()
         leadership.start()
 
@@ -252,7 +252,7 @@
         """Stop leading; the outcome of pending proposals becomes unknown."""
         if self.leadership is None:
             return
-        self.event_log.warning("leadership_lost", group=self.own.group, term=self.term)
+        self.event_log.warning("leadership_lost", group=self.info.group, term=self.term)
         self.leadership.end()
         self.leadership = None
         self.leader = 0
--- a/src/cranklane/replication/self_assembly.py
+++ b/src/cranklane/replication/self_assembly.py
@@ -48,7 +48,7 @@
         replica = self._replica
         if self._is_founder():
             replica.found_group()
-            replica.event_log.info("group_founded", group=replica.own.group)
+            replica.event_log.info("group_founded", group=replica.info.group)
         while True:
             if not self._is_connected_member():
                 self._ask_replicas()
@@ -63,7 +63,7 @@
         replica = self._replica
         seeds = self._seeds()
         empty = replica.log.last_index == 0 and not replica.is_member
-        return self._first_start and empty and bool(seeds) and min(seeds) == replica.own.address
+        return self._first_start and empty and bool(seeds) and min(seeds) == replica.info.address
 
     def _is_connected_member(self) -> bool:
         """Return whether this replica is a member with recent contact to a leader."""
@@ -78,7 +78,7 @@
         replica = self._replica
         member_addresses = [member.address for member in replica.members.current]
         addresses = list(dict.fromkeys([*member_addresses, *self._seeds()]))
-        addresses = [address for address in addresses if address != replica.own.address]
+        addresses = [address for address in addresses if address != replica.info.address]
         replica.runtime.random.shuffle(addresses)
         asked_addresses: set[str] = set()
         while addresses:
--- a/src/cranklane/replication/state.py
+++ b/src/cranklane/replication/state.py
@@ -55,10 +55,10 @@
     """
 
     def __init__(
-        self, runtime: Runtime, storage: Storage, own: ReplicaInfo, event_log: Any
+        self, runtime: Runtime, storage: Storage, info: ReplicaInfo, event_log: Any
     ) -> None:
         self.runtime = runtime
-        self.own = own
+        self.info = info
         self.event_log = event_log
         self.log = Log(storage)
         self.votes = VoteFile(storage)
@@ -101,7 +101,7 @@
 
     def hello(self) -> ReplicaHello:
         """Return the greeting to other replicas."""
-        return ReplicaHello(self.identity, self.own.group, self.own.name)
+        return ReplicaHello(self.identity, self.info.group, self.info.name)
 
     def link(self, member: ReplicaMember) -> ReplicaLink:
         """Return the link to a member's address, created on first use."""
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -205,7 +205,7 @@
 
 def _identity_by_name() -> list[Replacement]:
     def identity(self: Replica) -> int:
-        return zlib.crc32(self.own.name.encode()) | 1
+        return zlib.crc32(self.info.name.encode()) | 1
 
     return [Replacement(Replica, "identity", property(identity))]
 
