--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -27,7 +27,7 @@
 from cranklane.replication.peer_service import PeerService
 from cranklane.replication.port import ReplicaPort
 from cranklane.replication.replica import Replica
-from cranklane.replication.self_assembly import SelfAssembly
+from cranklane.replication.self_assembly import GroupBootstrap
 from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
@@ -145,7 +145,7 @@
             metrics = MetricsServer(self._registry().text)
             serve = SmallHttp(self.runtime, metrics.handle).accept
             self.runtime.listen(parse_address(settings.metrics), serve)
-        assembly = SelfAssembly(self.replica, self._seeds, settings.first_start)
+        assembly = GroupBootstrap(self.replica, self._seeds, settings.first_start)
         self.runtime.spawn(assembly.run)
         self._nodes.serve_sidecars(self._sidecars)
         self.runtime.spawn(self._confirmation.run)
--- a/src/cranklane/replication/self_assembly.py
+++ b/src/cranklane/replication/self_assembly.py
@@ -28,7 +28,7 @@
 longest election timeout, so that an ordinary election causes no join requests."""
 
 
-class SelfAssembly:
+class GroupBootstrap:
     """Founds, joins and rejoins the group of one replica.
 
     :param seeds: returns the seed addresses from the current settings.
