--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -23,11 +23,11 @@
 from cranklane.distribution.node_service import NodeService
 from cranklane.distribution.publisher import SILENT_SECONDS
 from cranklane.records.messages import Hello
+from cranklane.replication.group_bootstrap import GroupBootstrap
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
 from cranklane.replication.port import ReplicaPort
 from cranklane.replication.replica import Replica
-from cranklane.replication.self_assembly import GroupBootstrap
 from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
--- a/src/cranklane/replication/joining.py
+++ b/src/cranklane/replication/joining.py
@@ -1,6 +1,6 @@
 """Group formation with replicas and founder from the settings.
 
-See :mod:`self_assembly` for groups that form from seed addresses.
+See :mod:`group_bootstrap` for groups that form from seed addresses.
 """
 
 from __future__ import annotations
--- a/tests/test_replication_rules.py
+++ b/tests/test_replication_rules.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cranklane.records.messages import ReplicaMember, VoteRequest
-from cranklane.replication import applier, membership_change, self_assembly, timing, voting
+from cranklane.replication import applier, group_bootstrap, membership_change, timing, voting
 from cranklane.replication.members import quorum_of
 from cranklane.replication.proposals import PROPOSAL_SECONDS
 from cranklane.replication.voting import Voter
@@ -76,7 +76,7 @@
 
 
 def test_timeouts_are_ordered():
-    assert self_assembly.LEADER_CONTACT_TIMEOUT_SECONDS > 2 * timing.ELECTION_SECONDS
+    assert group_bootstrap.LEADER_CONTACT_TIMEOUT_SECONDS > 2 * timing.ELECTION_SECONDS
     assert timing.DISK_FAILURE_PAUSE_SECONDS >= 4 * timing.ELECTION_SECONDS
     assert PROPOSAL_SECONDS > 2 * timing.ELECTION_SECONDS
     assert membership_change.SILENT_VOTER_SECONDS > timing.REPLY_SECONDS
