--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -19,7 +19,7 @@
 from cranklane.replication.joining import Joining
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
-from cranklane.replication.port import ReplicaPort
+from cranklane.replication.port import PortDispatcher
 from cranklane.replication.replica import Replica
 from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
@@ -100,7 +100,7 @@
         )
         self.changes = MembershipChange(self.replica)
         peers = PeerService(self.replica, self.changes.join)
-        self._port = ReplicaPort(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
         self.editor = Editor(runtime, self.store, self.replica)
 
     def start(self) -> None:
--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -26,7 +26,7 @@
 from cranklane.replication.group_bootstrap import GroupBootstrap
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
-from cranklane.replication.port import ReplicaPort
+from cranklane.replication.port import PortDispatcher
 from cranklane.replication.replica import Replica
 from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
@@ -107,7 +107,7 @@
         voters = 2 * settings.tolerated_losses + 1
         self.changes = MembershipChange(self.replica, voters)
         peers = PeerService(self.replica, self.changes.join)
-        self._port = ReplicaPort(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
         self.editor = RouteEditor(self.store, self.replica, voters)
 
     def _make_replica(self) -> Replica:
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -20,7 +20,7 @@
 from cranklane.replication.joining import Joining
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
-from cranklane.replication.port import ReplicaPort
+from cranklane.replication.port import PortDispatcher
 from cranklane.replication.replica import Replica
 from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
@@ -80,7 +80,7 @@
         changes = MembershipChange(self.replica)
         self.service = LedgerService(runtime, self.replica)
         peers = PeerService(self.replica, changes.join)
-        self._port = ReplicaPort(peers, self._hello, self.service.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._hello, self.service.serve, SILENT_SECONDS)
 
     def start(self) -> None:
         """Restore the last state, open the port, find the group and control."""
--- a/src/cranklane/replication/port.py
+++ b/src/cranklane/replication/port.py
@@ -15,7 +15,7 @@
 from cranklane.runtime.interface import Address
 
 
-class ReplicaPort:
+class PortDispatcher:
     """Dispatches each accepted connection by its first record.
 
     :param peers: serves connections of other replicas.
