--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -26,7 +26,7 @@
 from cranklane.replication.group_bootstrap import GroupBootstrap
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
-from cranklane.replication.port import PortDispatcher
+from cranklane.replication.port_dispatcher import PortDispatcher
 from cranklane.replication.replica import Replica
 from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -20,7 +20,7 @@
 from cranklane.replication.joining import Joining
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
-from cranklane.replication.port import PortDispatcher
+from cranklane.replication.port_dispatcher import PortDispatcher
 from cranklane.replication.replica import Replica
 from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
