--- a/src/cranklane/distribution/follower.py
+++ b/src/cranklane/distribution/follower.py
@@ -32,9 +32,9 @@
     :ivar heartbeat: interval of heartbeats to control.
     :ivar silent: time without received bytes after which a control process is lost.
     :ivar max_backoff: longest mean pause between rounds of connection attempts.
-    :ivar raises_incarnation: whether the process outbids a newer known incarnation. Set where
-        no other process of its name can be alive, so that a newer incarnation is from an
-        earlier process whose clock was ahead.
+    :ivar raises_incarnation: whether the process raises its incarnation when control knows a newer
+        one. Set where no other process of its name can be alive, so that the newer one is from
+        an earlier process whose clock was ahead.
     """
 
     heartbeat: float = HEARTBEAT_SECONDS
--- a/src/cranklane/distribution/group_contact.py
+++ b/src/cranklane/distribution/group_contact.py
@@ -1,4 +1,4 @@
-"""Contact of a control process to its group, and admission of subscribers without contact.
+"""Contact of a control process with its group, and admission of subscribers without contact.
 
 A process out of touch with its group's leader may miss committed changes, so its subscribers
 must find another one. A node that finds none may subscribe for a limited time as a last resort,
@@ -32,7 +32,7 @@
 
 
 class GroupContact:
-    """Tracks the contact of one control process to its group.
+    """Tracks the contact of one control process with its group.
 
     :param clock: returns monotonic seconds.
     """
--- a/src/cranklane/distribution/publisher.py
+++ b/src/cranklane/distribution/publisher.py
@@ -134,12 +134,12 @@
 
     def _register(self, subscriber: Subscriber) -> None:
         name = subscriber.identity.node
-        replaced = self.subscribers.get(name)
-        if replaced is not None:
-            newer = (replaced.identity.incarnation, replaced.identity.session)
-            if newer > (subscriber.identity.incarnation, subscriber.identity.session):
+        existing = self.subscribers.get(name)
+        if existing is not None:
+            existing_order = (existing.identity.incarnation, existing.identity.session)
+            if existing_order > (subscriber.identity.incarnation, subscriber.identity.session):
                 raise ConnectionLostError("a newer process of this name is subscribed")
-            replaced.records.close()
+            existing.records.close()
         self.subscribers[name] = subscriber
         self._updates.mark_current(subscriber)
         self._membership.add_subscriber(subscriber.identity)
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -112,11 +112,13 @@
 
     def _candidates(self) -> list[Address]:
         """Return shuffled addresses to try: announced ones first, then the initial ones."""
-        named = list(self._announced)
-        first = [address for address in self._controls if address not in named]
-        self._runtime.random.shuffle(named)
-        self._runtime.random.shuffle(first)
-        return named + first
+        announced_controls = list(self._announced)
+        initial_controls = [
+            address for address in self._controls if address not in announced_controls
+        ]
+        self._runtime.random.shuffle(announced_controls)
+        self._runtime.random.shuffle(initial_controls)
+        return announced_controls + initial_controls
 
     def set_initial_controls(self, controls: Sequence[Address]) -> None:
         """Replace the initial addresses after a change of the settings."""
--- a/src/cranklane/replication/election.py
+++ b/src/cranklane/replication/election.py
@@ -59,7 +59,7 @@
 
     # Election timer.
 
-    def leased_heartbeat(self) -> None:
+    def record_leased_heartbeat(self) -> None:
         """Record a heartbeat of a leader that has the lease."""
         self._leased_heartbeat_at = self._state.runtime.monotonic()
         self.restart_timer()
@@ -75,7 +75,7 @@
         self._timer_started_at = self._state.runtime.monotonic()
         self._timeout = election_timeout(self._state.runtime.random)
 
-    def was_timer_reset_recently(self) -> bool:
+    def was_timer_restarted_recently(self) -> bool:
         """Return whether the timer was restarted within ``ELECTION_SECONDS``."""
         age = self._state.runtime.monotonic() - self._timer_started_at
         return age < ELECTION_SECONDS
@@ -123,7 +123,7 @@
             gevent.sleep(CAMPAIGN_RETRY_SECONDS)
 
     def _has_lost_its_disk(self, identity: int) -> bool:
-        """Return whether another identity answers at a member's address."""
+        """Return whether another identity answers at a member's address: its disk is lost."""
         member = self._state.members.find(identity)
         if member is None:
             return False
@@ -155,22 +155,22 @@
 
         :raises OSError: when this replica's vote cannot be written.
         """
-        if self._candidate.is_leader or not self._has_won(self._vote_request(trial=True)):
+        if self._candidate.is_leader or not self._has_won(self._vote_request(pre_vote=True)):
             return
         if not self._candidate.begin_term():
             return
-        request = self._vote_request(trial=False)
+        request = self._vote_request(pre_vote=False)
         if self._has_won(request):
             self._candidate.lead(request.term)
 
-    def _vote_request(self, trial: bool) -> VoteRequest:
+    def _vote_request(self, pre_vote: bool) -> VoteRequest:
         state = self._state
         return VoteRequest(
-            state.term + 1 if trial else state.term,
+            state.term + 1 if pre_vote else state.term,
             state.identity,
             state.log.last_index,
             state.log.last_term,
-            trial,
+            pre_vote,
             self.disk_lost_leader,
         )
 
@@ -180,7 +180,9 @@
         other_voters = [
             voter for voter in state.members.voters() if voter.identity != state.identity
         ]
-        tasks = [state.runtime.spawn(self._ask, member, request) for member in other_voters]
+        tasks = [
+            state.runtime.spawn(self._request_vote, member, request) for member in other_voters
+        ]
         granted = 1
         for task in gevent.iwait(tasks, timeout=VOTE_SECONDS):
             granted += bool(task.value)
@@ -188,7 +190,7 @@
                 break
         return granted >= state.members.quorum()
 
-    def _ask(self, member: ReplicaMember, request: VoteRequest) -> bool:
+    def _request_vote(self, member: ReplicaMember, request: VoteRequest) -> bool:
         link = self._state.link(member)
         reply = link.call(request, VoteReply, VOTE_SECONDS)
         if reply is None or link.peer_identity != member.identity:
--- a/src/cranklane/replication/group_bootstrap.py
+++ b/src/cranklane/replication/group_bootstrap.py
@@ -13,7 +13,7 @@
 
 import gevent
 
-from cranklane.replication.join_request import ask_to_join
+from cranklane.replication.join_request import send_join_request
 from cranklane.replication.membership_change import JoinStatus
 from cranklane.replication.replica import Replica
 
@@ -51,7 +51,7 @@
             replica.event_log.info("group_founded", group=replica.info.group)
         while True:
             if not self._is_connected_member():
-                self._ask_replicas()
+                self._send_join_requests()
             gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
 
     def _is_founder(self) -> bool:
@@ -73,20 +73,20 @@
             self._in_touch_at = now
         return replica.is_member and now - self._in_touch_at < LEADER_CONTACT_TIMEOUT_SECONDS
 
-    def _ask_replicas(self) -> None:
+    def _send_join_requests(self) -> None:
         """Send join requests to members and seeds in random order until one accepts."""
         replica = self._replica
         member_addresses = [member.address for member in replica.members.current]
         addresses = list(dict.fromkeys([*member_addresses, *self._seeds()]))
         addresses = [address for address in addresses if address != replica.info.address]
         replica.runtime.random.shuffle(addresses)
-        asked_addresses: set[str] = set()
+        tried_addresses: set[str] = set()
         while addresses:
             address = addresses.pop(0)
-            if address in asked_addresses:
+            if address in tried_addresses:
                 continue
-            asked_addresses.add(address)
-            reply = ask_to_join(replica, address, voter=True, timeout=REPLY_SECONDS)
+            tried_addresses.add(address)
+            reply = send_join_request(replica, address, voter=True, timeout=REPLY_SECONDS)
             if reply is None:
                 continue
             if reply.status == JoinStatus.NOT_LEADER and reply.leader:
--- a/src/cranklane/replication/join_request.py
+++ b/src/cranklane/replication/join_request.py
@@ -7,7 +7,9 @@
 from cranklane.replication.state import ReplicaState
 
 
-def ask_to_join(state: ReplicaState, address: str, voter: bool, timeout: float) -> JoinReply | None:
+def send_join_request(
+    state: ReplicaState, address: str, voter: bool, timeout: float
+) -> JoinReply | None:
     """Send a join request; return the reply, or None on a failure or timeout.
 
     :param address: address of a member of the group.
--- a/src/cranklane/replication/joining.py
+++ b/src/cranklane/replication/joining.py
@@ -9,7 +9,7 @@
 
 import gevent
 
-from cranklane.replication.join_request import ask_to_join
+from cranklane.replication.join_request import send_join_request
 from cranklane.replication.membership_change import JoinStatus
 from cranklane.replication.replica import Replica
 
@@ -42,7 +42,7 @@
         replica = self._replica
         waiting = False
         while not replica.is_member:
-            if self._ask_replicas():
+            if self._send_join_requests():
                 break
             if not waiting:
                 waiting = True
@@ -50,21 +50,21 @@
             gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
         replica.event_log.info("joined_group", group=replica.info.group, name=replica.info.name)
 
-    def _ask_replicas(self) -> bool:
+    def _send_join_requests(self) -> bool:
         """Send join requests to all replicas; return whether this replica is a member."""
         without_group = 0
         addresses = list(self._peers)
-        asked_addresses: set[str] = set()
+        tried_addresses: set[str] = set()
         while addresses:
             address = addresses.pop(0)
-            asked_addresses.add(address)
-            reply = ask_to_join(self._replica, address, self._voter, REPLY_SECONDS)
+            tried_addresses.add(address)
+            reply = send_join_request(self._replica, address, self._voter, REPLY_SECONDS)
             if reply is None:
                 continue
             if reply.status == JoinStatus.NO_GROUP:
                 without_group += 1
             elif reply.status == JoinStatus.NOT_LEADER and reply.leader:
-                if reply.leader not in asked_addresses:
+                if reply.leader not in tried_addresses:
                     addresses.insert(0, reply.leader)
             elif reply.status == JoinStatus.ACCEPTED:
                 return self._replica.is_member
--- a/src/cranklane/replication/leadership.py
+++ b/src/cranklane/replication/leadership.py
@@ -200,9 +200,9 @@
             self.wake()
 
     def has_lease(self) -> bool:
-        """Return whether a quorum answered within ``LEASE_SECONDS``.
+        """Return whether a quorum answered within ``LEASE_SECONDS``: no other leader can exist.
 
-        There is no lease before the first entry of the term is applied: only then does the
+        The lease starts once the first entry of the term is applied, because only then does the
         applied state include all entries of earlier terms.
         """
         state = self._state
--- a/src/cranklane/replication/link.py
+++ b/src/cranklane/replication/link.py
@@ -40,8 +40,8 @@
     def call(self, request: Message, kind: type[_Reply], timeout: float) -> _Reply | None:
         """Send a request and return the reply, or None on a failure or timeout.
 
-        Requests between replicas are idempotent. A request that fails within half its timeout
-        on a reused connection, which the peer may have closed, is sent a second time.
+        Requests between replicas may be sent twice: a request that fails within half its timeout
+        on a reused connection, which the peer may have closed, is sent again.
 
         :param kind: type of the reply.
         :param timeout: in seconds.
--- a/src/cranklane/replication/membership_change.py
+++ b/src/cranklane/replication/membership_change.py
@@ -1,4 +1,4 @@
-"""Changes of a group's members, one replica at a time, that keep an alive quorum.
+"""Membership changes of a group, one replica at a time, without loss of the quorum.
 
 Runs on every replica and acts only on the leader. The leadership provides which replicas are
 alive and caught up; the member sets are log entries.
--- a/src/cranklane/replication/replica.py
+++ b/src/cranklane/replication/replica.py
@@ -58,7 +58,7 @@
 
     @property
     def may_read(self) -> bool:
-        """Whether this replica has the leader lease, so that its applied state is current."""
+        """Whether this replica has the lease and its state includes all acknowledged entries."""
         return self.leadership is not None and self.leadership.has_lease()
 
     @property
@@ -71,7 +71,8 @@
     def open(self) -> None:
         """Restore the state from disk and start the replica's tasks.
 
-        :raises DamagedLogError: when log, snapshot or vote file are corrupted or missing.
+        :raises DamagedLogError: when log, snapshot or vote file is corrupted, or the vote file
+            is missing beside a log.
         :raises OSError: when the disk cannot be read or written.
         """
         torn = self.log.open()
@@ -229,7 +230,7 @@
             self.event_log.info("following", group=self.info.group, term=term)
         self.election.restart_timer()
         if leased:
-            self.election.leased_heartbeat()
+            self.election.record_leased_heartbeat()
 
     def lead(self, term: int) -> None:
         """Become leader of a term won by a quorum of votes, unless the term has changed."""
