--- a/src/cranklane/replication/voting.py
+++ b/src/cranklane/replication/voting.py
@@ -20,8 +20,8 @@
     :ivar last_term: term of its newest entry.
     :ivar last_index: index of its newest entry.
     :ivar leads: whether it is the leader.
-    :ivar timer_fresh: whether its election timer was reset within ``ELECTION_SECONDS``, so
-        that it may have replied to a leader in that time.
+    :ivar timer_fresh: whether its election timer was restarted within
+        ``ELECTION_SECONDS``, so that it may have replied to a leader in that time.
     """
 
     term: int
