--- a/src/cranklane/replication/peer_service.py
+++ b/src/cranklane/replication/peer_service.py
@@ -105,7 +105,7 @@
             last_term=replica.log.last_term,
             last_index=replica.log.last_index,
             leads=replica.is_leader,
-            timer_fresh=replica.election.was_timer_restarted_recently(),
+            timer_restarted_recently=replica.election.was_timer_restarted_recently(),
         )
 
     def _append(self, request: AppendRequest) -> AppendReply:
--- a/src/cranklane/replication/voting.py
+++ b/src/cranklane/replication/voting.py
@@ -20,7 +20,7 @@
     :ivar last_term: term of its newest entry.
     :ivar last_index: index of its newest entry.
     :ivar leads: whether it is the leader.
-    :ivar timer_fresh: whether its election timer was restarted within
+    :ivar timer_restarted_recently: whether its election timer was restarted within
         ``ELECTION_SECONDS``, so that it may have replied to a leader in that time.
     """
 
@@ -29,7 +29,7 @@
     last_term: int
     last_index: int
     leads: bool
-    timer_fresh: bool
+    timer_restarted_recently: bool
 
 
 def may_support_a_lease(voter: Voter, request: VoteRequest) -> bool:
@@ -41,7 +41,7 @@
     """
     last_leader = voter.voted_for
     lease_is_over = last_leader != 0 and last_leader in (request.candidate, request.lost)
-    return voter.leads or (voter.timer_fresh and not lease_is_over)
+    return voter.leads or (voter.timer_restarted_recently and not lease_is_over)
 
 
 def is_up_to_date(voter: Voter, request: VoteRequest) -> bool:
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -238,7 +238,7 @@
     "early vote for the former leader": (
         voting,
         "may_support_a_lease",
-        lambda voter, request: voter.leads or voter.timer_fresh,
+        lambda voter, request: voter.leads or voter.timer_restarted_recently,
         lambda: test_controllers.test_after_all_were_killed_the_former_leader_leads_at_once(
             1, True
         ),
--- a/tests/test_replication_rules.py
+++ b/tests/test_replication_rules.py
@@ -13,7 +13,9 @@
 from cranklane.replication.proposals import PROPOSAL_SECONDS
 from cranklane.replication.voting import Voter
 
-VOTER = Voter(term=5, voted_for=0, last_term=4, last_index=9, leads=False, timer_fresh=False)
+VOTER = Voter(
+    term=5, voted_for=0, last_term=4, last_index=9, leads=False, timer_restarted_recently=False
+)
 REQUEST = VoteRequest(term=6, candidate=2, last_index=9, last_term=4, trial=False, lost=0)
 
 
@@ -22,13 +24,21 @@
     [
         (VOTER, REQUEST, False),
         (replace(VOTER, leads=True), REQUEST, True),
-        (replace(VOTER, timer_fresh=True), REQUEST, True),
-        (replace(VOTER, timer_fresh=True, voted_for=3), REQUEST, True),
+        (replace(VOTER, timer_restarted_recently=True), REQUEST, True),
+        (replace(VOTER, timer_restarted_recently=True, voted_for=3), REQUEST, True),
         # The former leader is the candidate: it was restarted and has no lease.
-        (replace(VOTER, timer_fresh=True, voted_for=2), REQUEST, False),
+        (replace(VOTER, timer_restarted_recently=True, voted_for=2), REQUEST, False),
         # The former leader's disk is lost, so its process has ended.
-        (replace(VOTER, timer_fresh=True, voted_for=3), REQUEST.replaced(lost=3), False),
-        (replace(VOTER, timer_fresh=True, voted_for=4), REQUEST.replaced(lost=3), True),
+        (
+            replace(VOTER, timer_restarted_recently=True, voted_for=3),
+            REQUEST.replaced(lost=3),
+            False,
+        ),
+        (
+            replace(VOTER, timer_restarted_recently=True, voted_for=4),
+            REQUEST.replaced(lost=3),
+            True,
+        ),
         # The voter is itself the leader.
         (replace(VOTER, leads=True, voted_for=2), REQUEST, True),
     ],
