--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -209,7 +209,7 @@
         SharedFrameCache,
         "get",
         lambda self, span, make: make(),
-        test_publisher_frames.test_frames_of_an_older_state_are_made_anew,
+        test_publisher_frames.test_frames_of_an_older_position_are_encoded_again,
     ),
     "comparison of times": (
         cost,
--- a/tests/test_publisher_frames.py
+++ b/tests/test_publisher_frames.py
@@ -55,7 +55,7 @@
     assert len(calls) <= 4 * CONTROLLERS
 
 
-def test_frames_of_an_older_state_are_made_anew():
+def test_frames_of_an_older_position_are_encoded_again():
     frames = SharedFrameCache()
     encoded_names = []
 
