--- a/src/cranklane/distribution/member_exchange.py
+++ b/src/cranklane/distribution/member_exchange.py
@@ -130,4 +130,6 @@
             case UsageTotals() if self.sidecars is not None:
                 self.sidecars.take_totals(message)
             case _:
-                raise MalformedRecordError(f"{type(message).__name__} from a control process")
+                raise MalformedRecordError(
+                    f"{type(message).__name__} is not expected from a control process"
+                )
--- a/src/cranklane/distribution/publisher.py
+++ b/src/cranklane/distribution/publisher.py
@@ -111,7 +111,9 @@
             case UsageReport() if self._sidecars is not None:
                 self._sidecars.take_usage(message)
             case _:
-                raise MalformedRecordError(f"{type(message).__name__} from a subscriber")
+                raise MalformedRecordError(
+                    f"{type(message).__name__} is not expected from a subscriber"
+                )
 
     def active_since(self, moment: float) -> int:
         """Return the number of subscribers that sent a record since a monotonic second."""
--- a/src/cranklane/distribution/reconnect.py
+++ b/src/cranklane/distribution/reconnect.py
@@ -52,7 +52,7 @@
     def next_pause(self, random: Random) -> float:
         """Return a random pause before the next round, in seconds, and double the mean.
 
-        The pause is within half of the mean, so that followers do not reconnect all at once.
+        Pauses vary by up to half of the mean, so that followers do not reconnect all at once.
         """
         seconds = self._backoff * (0.5 + random.random())
         self._backoff = min(self._max_backoff, self._backoff * 2)
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -173,7 +173,7 @@
             case Ping():
                 pass
             case _:
-                raise MalformedRecordError(f"{type(message).__name__} from control")
+                raise MalformedRecordError(f"{type(message).__name__} is not expected from control")
 
     def _raise_incarnation(self, newest_incarnation: int) -> None:
         """Reconnect with an incarnation above the newest incarnation known to control.
--- a/src/cranklane/replication/group_bootstrap.py
+++ b/src/cranklane/replication/group_bootstrap.py
@@ -18,7 +18,7 @@
 from cranklane.replication.replica import Replica
 
 RETRY_SECONDS = 0.25
-"""Mean delay between rounds of join requests; each delay is within half of it."""
+"""Mean delay between rounds of join requests; delays vary randomly by up to half of it."""
 
 REPLY_SECONDS = 2.0
 """Timeout of a join request; bounds the delay by an unreachable machine."""
--- a/src/cranklane/replication/joining.py
+++ b/src/cranklane/replication/joining.py
@@ -14,7 +14,7 @@
 from cranklane.replication.replica import Replica
 
 RETRY_SECONDS = 0.5
-"""Mean delay between rounds of join requests; each delay is within half of it."""
+"""Mean delay between rounds of join requests; delays vary randomly by up to half of it."""
 
 REPLY_SECONDS = 6.0
 """Timeout of a join request; above ``PROPOSAL_SECONDS``, because the leader replies after the
--- a/src/cranklane/replication/peer_service.py
+++ b/src/cranklane/replication/peer_service.py
@@ -75,7 +75,7 @@
                 return self._confirm(message)
             case JoinRequest():
                 return self._join(message)
-        raise MalformedRecordError(f"{type(message).__name__} from a replica is not a request")
+        raise MalformedRecordError(f"{type(message).__name__} is not expected from a replica")
 
     def _confirm(self, request: ConfirmRequest) -> ConfirmReply:
         """Return whether this replica has the leader lease, and its commit index."""
--- a/src/cranklane/replication/voting.py
+++ b/src/cranklane/replication/voting.py
@@ -19,7 +19,7 @@
         replica's vote; 0 for none.
     :ivar last_term: term of its newest entry.
     :ivar last_index: index of its newest entry.
-    :ivar leads: whether it is the leader.
+    :ivar leads: whether the voter is itself a leader.
     :ivar timer_restarted_recently: whether its election timer was restarted within
         ``ELECTION_SECONDS``, so that it may have replied to a leader in that time.
     """
