--- a/src/cranklane/common/__init__.py
+++ b/src/cranklane/common/__init__.py
@@ -1,1 +1,1 @@
-"""Parts shared by the processes: HTTP serving and calling, logs, headers."""
+"""HTTP, logging and metrics code shared by all processes."""
--- a/src/cranklane/common/addresses.py
+++ b/src/cranklane/common/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses derived from other addresses."""
+"""Derives the addresses of controllers from their seeds."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 def peer_addresses(seeds: list[str], port: int) -> list[str]:
-    """Return where the controllers of some operators' addresses listen for each other.
+    """Return the addresses on which the controllers at ``seeds`` accept peers and sidecars.
+
+    :param seeds: ``host:port`` of each controller's operator API.
+    :param port: port shared by all controllers for peer connections.
 
     >>> peer_addresses(["10.0.0.1:80"], 7000)
     ['10.0.0.1:7000']
--- a/src/cranklane/common/checksummed.py
+++ b/src/cranklane/common/checksummed.py
@@ -1,4 +1,4 @@
-"""Small files with their checksum in front: written whole, read only when undamaged."""
+"""Encodes and verifies small files that start with a CRC-32 checksum."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 def add_checksum(payload: bytes) -> bytes:
-    """Return a file's bytes: the payload's CRC-32, then the payload."""
+    """Return the content of a file: the CRC-32 of the payload, then the payload."""
     return _CHECKSUM.pack(zlib.crc32(payload)) + payload
 
 
 def verified_payload(data: bytes) -> bytes | None:
-    """Return the payload, or None when the file is damaged.
+    """Return the payload, or None if the file is corrupted.
 
     >>> data = add_checksum(b"a")
     >>> verified_payload(data), verified_payload(data + b"b"), verified_payload(b"")
--- a/src/cranklane/common/header_names.py
+++ b/src/cranklane/common/header_names.py
@@ -1,8 +1,7 @@
-"""Names of the headers that a sidecar reads and sets; those of nodes are in ``headers``.
+"""Names of the headers that a sidecar reads and sets.
 
-The defaults are the product's own; an adapter to another platform gives its
-names. Names are lower case where they are compared and as sent where they are
-written.
+An adapter for another platform replaces the defaults. The headers of nodes are in
+:mod:`~cranklane.common.headers`.
 """
 
 from __future__ import annotations
@@ -12,18 +11,18 @@
 
 @dataclass(frozen=True)
 class HeaderNames:
-    """Headers between callers, sidecars and workers.
-
-    :ivar request: id of one request of a caller; a worker's answer repeats it.
-    :ivar deadline: milliseconds the caller still waits.
-    :ivar instance: the worker's start that alone may run the request.
-    :ivar instance_answer: on a worker's answer: its own start.
-    :ivar caller: service of the machine where the request began.
-    :ivar integrity: the worker's mark on its answers; every success has it.
-    :ivar not_run: on a worker's answer: the request was not run.
-    :ivar load: on a worker's answer: running, waiting, slots.
-    :ivar key: API key of the tenant whose request it is; never passed on.
-    :ivar tenant: name of that tenant, passed to workers.
+    """Names of the headers between callers, sidecars and workers.
+
+    :ivar request: request id, set by the caller and repeated in the worker's response.
+    :ivar deadline: time until the caller's deadline, in milliseconds.
+    :ivar instance: worker instance (process start) that the request is bound to.
+    :ivar instance_answer: on a response: instance of the worker that sent it.
+    :ivar caller: service of the machine that sent the request.
+    :ivar integrity: on a response: integrity mark, required on every success.
+    :ivar not_run: on a response: the worker did not run the request.
+    :ivar load: on a response: the worker's running and queued requests and its slots.
+    :ivar key: API key of the tenant; never forwarded.
+    :ivar tenant: name of the tenant, set on requests to workers.
     """
 
     request: bytes = b"Cranklane-Request-Id"
@@ -39,6 +38,6 @@
 
     @property
     def set_here(self) -> frozenset[bytes]:
-        """Lower-case names of the request headers that a sidecar sets itself or keeps."""
+        """Lower-case names of the request headers that a sidecar sets or removes."""
         names = (self.deadline, self.instance, self.caller, self.key, self.tenant)
         return frozenset(name.lower() for name in names)
--- a/src/cranklane/common/headers.py
+++ b/src/cranklane/common/headers.py
@@ -1,6 +1,7 @@
-"""Headers of the nodes' HTTP, towards callers and workers.
+"""HTTP headers between nodes and their callers and workers.
 
-The sidecar's are in :mod:`~cranklane.common.header_names`: an adapter can rename them.
+The sidecar's headers, which an adapter can rename, are in
+:mod:`~cranklane.common.header_names`.
 """
 
 from __future__ import annotations
@@ -8,26 +9,25 @@
 from cranklane.common.units import MILLISECONDS
 
 CONTEXT = "Cranklane-Context"
-"""Token given to a worker with a request; the worker copies it into the calls that it makes
-for that request."""
+"""Request token; a worker copies it into the calls that it makes for the request."""
 
 OUTCOME = "Cranklane-Outcome"
-"""``answered``, ``not_run`` or ``unknown``; on every answer to a caller."""
+"""``answered``, ``not_run`` or ``unknown``; on every response to a caller."""
 
 REASON = "Cranklane-Reason"
-"""Why a call was not answered; the label of a :class:`~cranklane.outcome.Reason`."""
+"""Label of the :class:`~cranklane.outcome.Reason` why a call failed or was refused."""
 
 ATTEMPTS = "Cranklane-Attempts"
-"""Attempts made for this call, the first included."""
+"""Number of attempts made for the call, including the first."""
 
 RETRY_AFTER_MS = "Cranklane-Retry-After-Ms"
-"""Milliseconds after which to try again; beside the standard ``Retry-After``."""
+"""Milliseconds to wait before a retry; more precise than ``Retry-After``."""
 
 DEADLINE_MS = "Cranklane-Deadline-Ms"
-"""Time left for the root request, in milliseconds; a client may shorten it."""
+"""Time until the root request's deadline, in milliseconds; a client may lower it."""
 
 IDEMPOTENCY_KEY = "Idempotency-Key"
-"""Names a once-request; a resend carries the same key."""
+"""Idempotency key of a ``once`` request; a resend has the same key."""
 
 HOP_BY_HOP = frozenset(
     {
@@ -43,11 +43,11 @@
         "expect",
     }
 )
-"""Headers of one connection, never passed on."""
+"""Hop-by-hop headers; never forwarded."""
 
 
 def is_own(name: str) -> bool:
-    """Return whether a header is the product's, so that callers cannot forge it.
+    """Return whether a header name is reserved, so that callers cannot forge the header.
 
     >>> is_own("cranklane-context"), is_own("Content-Type")
     (True, False)
@@ -56,7 +56,7 @@
 
 
 def retry_after_seconds(milliseconds: int) -> str:
-    """Return the value of ``Retry-After``: whole seconds, rounded up, at least one.
+    """Return the value of ``Retry-After``: seconds, rounded up, at least 1.
 
     >>> retry_after_seconds(1200)
     '2'
--- a/src/cranklane/common/http1/__init__.py
+++ b/src/cranklane/common/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on a connection: message types, reading and writing."""
+"""HTTP/1.1 message types, parsing and serialization."""
--- a/src/cranklane/common/http1/message.py
+++ b/src/cranklane/common/http1/message.py
@@ -1,7 +1,4 @@
-"""HTTP/1.1 messages: heads, framing, and what can be wrong with them.
-
-Owns the types that readers return and writers take. Relies on nothing.
-"""
+"""Types of HTTP/1.1 messages: heads, framing and parse errors."""
 
 from __future__ import annotations
 
@@ -9,11 +6,11 @@
 from enum import IntEnum
 
 Header = tuple[bytes, bytes]
-"""Name and value as they stood on the wire."""
+"""Name and value as received, without normalization."""
 
 
 class Framing(IntEnum):
-    """How the end of a body is known."""
+    """How a body is delimited."""
 
     NONE = 0
     LENGTH = 1
@@ -22,24 +19,24 @@
 
 
 class MalformedMessageError(Exception):
-    """The bytes are no HTTP/1.1 message."""
+    """The received bytes are not a valid HTTP/1.1 message."""
 
 
 class HeadTooLargeError(Exception):
-    """A message's head is larger than allowed."""
+    """A message head exceeds the size limit."""
 
 
 class MessageCutError(Exception):
-    """The connection ended within a message."""
+    """The connection ended before the end of a message."""
 
 
 @dataclass(slots=True)
 class RequestHead:
     """Request line and headers.
 
-    :ivar target: as sent, escapes and query included.
-    :ivar length: of the body in bytes; meaningful with ``Framing.LENGTH``.
-    :ivar keep_alive: whether the sender keeps the connection.
+    :ivar target: request target as received, with its query and percent-encoding.
+    :ivar length: body size in bytes; valid only with ``Framing.LENGTH``.
+    :ivar keep_alive: whether the connection stays open after the message.
     """
 
     method: bytes
@@ -82,7 +79,7 @@
 
 
 def framing_of(headers: list[Header]) -> tuple[Framing, int]:
-    """Return how a body's end is stated, and its length in bytes (0 unless stated).
+    """Return a body's framing and its ``Content-Length`` (0 if not applicable).
 
     >>> framing_of([(b"Content-Length", b"3")])
     (<Framing.LENGTH: 1>, 3)
--- a/src/cranklane/common/http1/reader.py
+++ b/src/cranklane/common/http1/reader.py
@@ -1,8 +1,7 @@
-"""Reads HTTP/1.1 messages from a connection, piece by piece, with ``httptools``.
+"""Reads HTTP/1.1 messages from a connection with the ``httptools`` parser.
 
-The parser is the library's; this module turns its callbacks into a head that
-is returned once and a body that is pulled in pieces, so that a slow reader on
-one side slows the sender on the other and no large body is kept in memory.
+Bodies are pulled in pieces: a slow consumer applies backpressure to the sender, and
+large bodies are not kept in memory.
 """
 
 from __future__ import annotations
@@ -27,16 +26,16 @@
 )
 
 RECEIVE_BYTES = 64 * 1024
-"""Bytes asked of the kernel at once. A choice: most requests and answers come in one piece."""
+"""Buffer size of one receive call."""
 
 _NO_BODY_STATUS = frozenset({HTTPStatus.NO_CONTENT, HTTPStatus.NOT_MODIFIED})
 _FIRST_FINAL_STATUS = int(HTTPStatus.OK)
-"""Answers below it are interim (1xx) and skipped."""
+"""Responses with a lower status are interim (1xx) and skipped."""
 
 
 @dataclass(slots=True)
 class _Message:
-    """One message as far as it has been parsed."""
+    """A message, possibly only partly parsed."""
 
     url: bytes = b""
     headers: list[Header] = field(default_factory=list)
@@ -49,7 +48,7 @@
 
 
 class _MessageReader:
-    """Reads messages from one connection; the base of both directions."""
+    """Base of the request and response readers."""
 
     def __init__(self, connection: Any, max_head_bytes: int) -> None:
         self._connection = connection
@@ -67,59 +66,57 @@
     def _head_parsed(self, message: _Message) -> None:
         raise NotImplementedError
 
-    # Callbacks of the library.
+    # Callbacks of httptools.
 
     def on_message_begin(self) -> None:
-        """Start a message."""
+        """Add an empty message to the queue."""
         self._parsing = _Message()
         self._messages.append(self._parsing)
 
     def on_url(self, url: bytes) -> None:
-        """Take a piece of the request target."""
+        """Append a piece of the request target."""
         self._parsing.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; those after the body are dropped."""
+        """Add a header; trailers after the body are dropped."""
         message = self._parsing
         if not message.head_done:
             message.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Take that the head is whole."""
+        """Mark the head as complete."""
         message = self._parsing
         self._head_parsed(message)
         message.head_done = True
         self._head_bytes = 0
 
     def on_body(self, data: bytes) -> None:
-        """Take a piece of the body."""
+        """Append a piece of the body."""
         if data:
             self._parsing.pieces.append(data)
 
     def on_message_complete(self) -> None:
-        """Take that the message is whole."""
+        """Mark the message as complete."""
         self._parsing.done = True
 
-    # Reading.
-
     @property
     def started(self) -> bool:
-        """Whether bytes of a message not yet returned have come."""
+        """Whether any part of an unread message has been received."""
         return self._head_bytes > 0 or bool(self._messages)
 
     def _receive(self) -> bool:
-        """Parse the next bytes; return False at the end of the connection."""
+        """Receive and parse the next bytes; return False at the end of the connection."""
         if self._ended:
             return False
         data = self._connection.recv(RECEIVE_BYTES)
         if not data:
-            # Asked again, the kernel would have to be waited for once more.
+            # Avoids another blocking receive on the ended connection.
             self._ended = True
             return False
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._error = "an upgrade of the protocol is not spoken"
+            self._error = "protocol upgrades are not supported"
         except httptools.HttpParserError as error:
             self._error = str(error) or type(error).__name__
         if not self._parsing.head_done:
@@ -127,7 +124,7 @@
         return True
 
     def _next_head(self) -> _Message | None:
-        """Return the next message once its head is whole; None at a clean end."""
+        """Return the next message once its head is complete; None at a clean end."""
         while not (self._messages and self._messages[0].head_done):
             if self._error:
                 raise MalformedMessageError(self._error)
@@ -146,7 +143,7 @@
         return message
 
     def _next_piece(self) -> bytes:
-        """Return the next piece of the current body, nothing at its end."""
+        """Return the next piece of the current body, empty at its end."""
         message = self._messages[0]
         while not message.pieces:
             if message.done:
@@ -158,14 +155,14 @@
         return message.pieces.popleft()
 
     def body_so_far(self) -> tuple[bytes, bool]:
-        """Return what of the body is parsed already, and whether that is its end."""
+        """Return the buffered part of the body and whether it reaches the body's end."""
         message = self._messages[0]
         data = b"".join(message.pieces)
         message.pieces.clear()
         return data, message.done
 
     def finish(self) -> None:
-        """Forget the current message, whose body has been read."""
+        """Remove the current message after its body has been read."""
         self._messages.popleft()
 
 
@@ -182,15 +179,15 @@
     def next_head(
         self, idle_seconds: float, head_seconds: float, clock: Callable[[], float]
     ) -> RequestHead | None:
-        """Return the next request's head; None when the caller has closed.
-
-        :param idle_seconds: how long the caller may rest before its first byte.
-        :param head_seconds: how long it may then take for the whole head.
-        :raises TimeoutError: when it takes longer.
-        :raises MalformedMessageError: when the bytes are no request.
-        :raises HeadTooLargeError: when the head is over the limit.
-        :raises MessageCutError: when the connection ends within a head.
-        :raises OSError: when the connection breaks, or stays silent too long.
+        """Return the next request's head; None if the caller has closed the connection.
+
+        :param idle_seconds: maximum wait for the first byte of the request.
+        :param head_seconds: maximum time from the first byte to the end of the head.
+        :raises TimeoutError: if one of these limits is exceeded.
+        :raises MalformedMessageError: if the bytes are not a valid request.
+        :raises HeadTooLargeError: if the head exceeds the limit.
+        :raises MessageCutError: if the connection ends within a head.
+        :raises OSError: if the connection fails.
         """
         self._wait_for_head(idle_seconds, head_seconds, clock)
         message = self._next_head()
@@ -204,34 +201,34 @@
     def _wait_for_head(
         self, idle_seconds: float, head_seconds: float, clock: Callable[[], float]
     ) -> None:
-        """Receive until a head is there, or an error, or the end."""
-        ends_at = clock() + head_seconds
-        resting = not self.started
+        """Receive until a complete head, a parse error or the end of the connection."""
+        deadline = clock() + head_seconds
+        idle = not self.started
         while not self._error and not (self._messages and self._messages[0].head_done):
-            if resting:
+            if idle:
                 self._connection.settimeout(idle_seconds)
             else:
-                left = ends_at - clock()
-                if left <= 0:
+                remaining = deadline - clock()
+                if remaining <= 0:
                     raise TimeoutError
-                self._connection.settimeout(left)
+                self._connection.settimeout(remaining)
             if self._head_bytes > self._max_head_bytes or not self._receive():
                 return
-            if resting:
-                resting = False
-                ends_at = clock() + head_seconds
+            if idle:
+                idle = False
+                deadline = clock() + head_seconds
 
     def next_piece(self) -> bytes:
-        """Return the next piece of the body, nothing at its end.
+        """Return the next piece of the body, empty at its end.
 
-        :raises MalformedMessageError: when its framing is broken.
-        :raises MessageCutError: when the connection ends before the body does.
+        :raises MalformedMessageError: if the body's framing is invalid.
+        :raises MessageCutError: if the connection ends before the body does.
         """
         return self._next_piece()
 
 
 class AnswerReader(_MessageReader):
-    """Reads answers from a server's connection."""
+    """Reads responses from a server's connection."""
 
     def __init__(self, connection: Any, max_head_bytes: int) -> None:
         super().__init__(connection, max_head_bytes)
@@ -246,11 +243,11 @@
         message.keep_alive = self._parser.should_keep_alive()
 
     def next_head(self, bodiless: bool = False) -> AnswerHead:
-        """Return the next final answer's head.
+        """Return the head of the next final (not 1xx) response.
 
-        :param bodiless: whether the request was one whose answer has no body (HEAD).
-        :raises MalformedMessageError: when the bytes are no answer.
-        :raises MessageCutError: when the connection ends first.
+        :param bodiless: whether the response has no body because the request was a HEAD.
+        :raises MalformedMessageError: if the bytes are not a valid response.
+        :raises MessageCutError: if the connection ends first.
         """
         while True:
             message = self._next_head()
@@ -273,12 +270,13 @@
         return AnswerHead(message.status, message.headers, framing, length, keep_alive)
 
     def next_piece(self) -> bytes:
-        """Return the next piece of the body, nothing at its end.
+        """Return the next piece of the body, empty at its end.
 
-        A body that ends with its connection is whole only after a clean close;
-        a reset raises OSError.
+        A body delimited by the end of the connection is complete only after a clean close.
 
-        :raises MessageCutError: when the connection ends before the body does.
+        :raises MalformedMessageError: if the body's framing is invalid.
+        :raises MessageCutError: if the connection ends before the body does.
+        :raises OSError: if the connection fails.
         """
         try:
             return self._next_piece()
@@ -290,5 +288,5 @@
 
     @property
     def surplus(self) -> bool:
-        """Whether bytes came after the current answer, which is whole."""
+        """Whether bytes were received after the end of the current response."""
         return bool(self._error) or len(self._messages) > 1
--- a/src/cranklane/common/http1/writer.py
+++ b/src/cranklane/common/http1/writer.py
@@ -1,4 +1,4 @@
-"""Writes the parts of HTTP/1.1 messages: status line, headers, framing and chunks."""
+"""Serializes the parts of HTTP/1.1 messages: status line, headers, framing and chunks."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 """Ends a chunked body."""
 
 HOP_BY_HOP = frozenset(name.encode() for name in HOP_BY_HOP_NAMES) | {b"content-length"}
-"""Headers of one connection or of its framing; never passed on as they came."""
+"""Hop-by-hop and framing headers; never forwarded unchanged."""
 
 _PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
 def status_line(status: int) -> bytes:
-    """Return the status line of an answer.
+    """Return the status line of a response.
 
     >>> status_line(404)
     b'HTTP/1.1 404 Not Found\\r\\n'
@@ -26,29 +26,29 @@
 
 
 def header_lines(headers: list[Header]) -> bytes:
-    """Return headers as they go over the wire."""
+    """Return the encoded header lines."""
     return b"".join([b"%s: %s\r\n" % header for header in headers])
 
 
 def end_to_end(headers: list[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
-    """Return the headers that are passed on.
+    """Return the headers to forward.
 
-    Those named by a ``Connection`` header are dropped with it.
+    Drops hop-by-hop headers and those named by a ``Connection`` header.
 
-    :param without: lower-case names to leave out besides.
+    :param without: lower-case names of further headers to drop.
     """
     dropped = HOP_BY_HOP | without
     for name, value in headers:
         if name.lower() == b"connection" and value.lower() not in (b"close", b"keep-alive"):
-            listed = {item.strip().lower() for item in value.split(b",")}
+            listed = {token.strip().lower() for token in value.split(b",")}
             dropped = dropped | (listed - {b"host"})
     return [header for header in headers if header[0].lower() not in dropped]
 
 
 def framing_line(framing: Framing, length: int) -> bytes:
-    """Return the header that states a body's framing.
+    """Return the header line for a body's framing.
 
-    A body that would end with its connection is sent in chunks.
+    A body delimited by the end of its connection is forwarded in chunks.
     """
     if framing is Framing.NONE:
         return b""
--- a/src/cranklane/common/http_client.py
+++ b/src/cranklane/common/http_client.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 requests on pooled connections of the runtime, sent exactly once.
+"""HTTP/1.1 client with a connection pool that never sends a request twice.
 
-The pool and the parser are geventhttpclient's. Its own ``request`` may send a
-request a second time on a fresh connection, which this product must not do.
+Uses the pool and the parser of geventhttpclient, but not its ``request``, which may
+resend a request on a new connection.
 """
 
 from __future__ import annotations
@@ -16,28 +16,26 @@
 from cranklane.runtime.interface import Address, Runtime, format_address
 
 CONNECT_SECONDS = 1.0
-"""Seconds a server has to take a connection. A choice: a server that takes longer is as good as
-gone for a call."""
+"""Connection time-out."""
 
 DEFAULT_CONCURRENCY = 64
-"""Requests at once to one server. A choice: enough for an operator's tool."""
+"""Maximum number of concurrent requests to one server."""
 
 DEFAULT_TIMEOUT_SECONDS = 10.0
-"""Seconds without a byte after which a request fails. A choice: for calls without a deadline."""
+"""Seconds without a received byte after which a request without a deadline fails."""
 
 READ_SIZE = 64 * 1024
-"""Bytes asked of the kernel at once when reading a body. A choice: most bodies come
-in one piece."""
+"""Buffer size of one receive call, in bytes."""
 
 _NO_BODY_METHODS = frozenset({"GET", "HEAD", "DELETE"})
 _PARSER_ERRORS = (HTTPParseError, OSError, ValueError)
 
 
 class HttpRequestError(Exception):
-    """No answer came.
+    """A request failed before the head of its response was received.
 
     :ivar sent: whether any byte of the request may have reached the server.
-    :ivar timed_out: whether the time for it was up.
+    :ivar timed_out: whether the request timed out.
     """
 
     def __init__(self, text: str, sent: bool, timed_out: bool = False) -> None:
@@ -60,17 +58,17 @@
 
 
 class _Response(HTTPSocketPoolResponse):
-    """Adds reading what is there without waiting for a full block."""
+    """Adds reads that return available data without waiting for a full block."""
 
-    def read_some(self) -> bytes:
-        """Return body bytes as they come, and nothing once the body is whole."""
+    def read_available(self) -> bytes:
+        """Wait for and return the next body bytes; empty at the end of the body."""
         try:
             while not self._body_buffer and not self.message_complete:
                 if self._sock is None:
                     raise AnswerCutError("the connection is closed")
                 data = self._sock.recv(READ_SIZE)
                 if not data:
-                    raise AnswerCutError("the connection ended before the answer did")
+                    raise AnswerCutError("the connection ended before the end of the response")
                 self.feed(data)
         except _PARSER_ERRORS as error:
             self.release()
@@ -78,16 +76,16 @@
         except AnswerCutError:
             self.release()
             raise
-        taken = bytes(self._body_buffer)
+        body = bytes(self._body_buffer)
         del self._body_buffer[:]
-        return taken
+        return body
 
 
 class HttpResponse:
-    """An answer whose head has come; its body is read piece by piece.
+    """A response with its head received and its body read on demand.
 
     :ivar status: HTTP status.
-    :ivar headers: (name, value) in the order they came.
+    :ivar headers: (name, value) in the order received.
     """
 
     def __init__(self, response: _Response) -> None:
@@ -99,33 +97,33 @@
 
     @property
     def whole(self) -> bool:
-        """Whether the last byte of the answer has come."""
+        """Whether the last byte of the response has been received."""
         return bool(self._response.message_complete)
 
     def body(self) -> Iterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the body as it is received.
 
-        :raises AnswerCutError: when it ends before its last byte.
+        :raises AnswerCutError: if the connection ends before the body does.
         """
-        while data := self._response.read_some():
+        while data := self._response.read_available():
             yield data
 
     def read(self) -> bytes:
-        """Return the whole body.
+        """Return the complete body.
 
-        :raises AnswerCutError: when it ends before its last byte.
+        :raises AnswerCutError: if the connection ends before the body does.
         """
         return b"".join(self.body())
 
     def close(self) -> None:
-        """Give the connection back, or end it when the answer is not read whole."""
+        """Return the connection to the pool, or close it if the response was not read fully."""
         self._response.release()
 
 
 class HttpClient:
-    """Keeps connections to one server.
+    """Sends requests to one server on pooled connections.
 
-    :param concurrency: requests at once at most; more wait for a connection.
+    :param concurrency: maximum number of connections; further requests wait for one.
     """
 
     def __init__(
@@ -135,9 +133,9 @@
         self._host = format_address(address)
 
     def connect(self) -> Any:
-        """Take a connection from the pool, opening one when none is idle.
+        """Get a connection from the pool, opening one if none is idle.
 
-        :raises HttpRequestError: when the server takes no connection.
+        :raises HttpRequestError: if the connection cannot be opened.
         """
         try:
             return self._pool.get_socket()
@@ -145,7 +143,7 @@
             raise HttpRequestError(str(error), sent=False) from error
 
     def give_back(self, connection: Any) -> None:
-        """Return a connection on which nothing was sent."""
+        """Return an unused connection to the pool."""
         self._pool.return_socket(connection)
 
     def request(
@@ -157,11 +155,11 @@
         timeout: float = DEFAULT_TIMEOUT_SECONDS,
         connection: Any = None,
     ) -> HttpResponse:
-        """Send one request once and return when the answer's head is there.
+        """Send a request once, without retries, and wait for the head of the response.
 
-        :param timeout: seconds without a byte from the server.
-        :param connection: one taken by :meth:`connect`, or None to take one.
-        :raises HttpRequestError: when no head came.
+        :param timeout: maximum seconds without a byte from the server.
+        :param connection: connection from :meth:`connect`; None uses one from the pool.
+        :raises HttpRequestError: if no head was received.
         """
         if connection is None:
             connection = self.connect()
@@ -197,7 +195,7 @@
         if body or method not in _NO_BODY_METHODS:
             lines.append(f"Content-Length: {len(body)}")
         if any("\r" in line or "\n" in line for line in lines):
-            raise HttpRequestError("line end inside a header", sent=False)
+            raise HttpRequestError("the request line or a header contains a line break", sent=False)
         return "\r\n".join([*lines, "", ""]).encode("latin-1") + body
 
     def close(self) -> None:
--- a/src/cranklane/common/http_server.py
+++ b/src/cranklane/common/http_server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 serving on the runtime's connections, by gevent's WSGI server."""
+"""HTTP/1.1 server based on gevent's WSGI server and the runtime's connections."""
 
 from __future__ import annotations
 
@@ -13,19 +13,17 @@
 from cranklane.runtime.interface import Address, Listener, Runtime
 
 CONNECTION_KEY = "cranklane.connection"
-"""Key of the WSGI environment under which the caller's connection stands."""
+"""Key of the caller's connection in the WSGI environment."""
 
 MAX_CONNECTIONS = 10_000
-"""Connections of callers at once; further ones are closed. A choice: far above the callers of one
-node, so that only a fault reaches it."""
+"""Maximum number of open connections; further ones are closed on accept."""
 
 IDLE_SECONDS = 60.0
-"""Seconds for which a caller's connection may be silent, or take no bytes. A choice: longer than
-clients keep idle connections."""
+"""Time-out for reads and writes on a connection; longer than clients keep idle ones."""
 
 
 class _Handler(WSGIHandler):
-    """Serves one connection; an answer cut short ends the connection."""
+    """Serves one connection and closes it after a truncated response."""
 
     provided_date: bytes | None
     headers: RequestHeaders
@@ -46,14 +44,14 @@
         try:
             super().handle_one_response()
         finally:
-            # An answer whose head promised to keep the connection keeps it, also
-            # when the server began to stop since: the client may be sending on it.
+            # Keeps a connection open if its response said so, even if the server
+            # began to stop meanwhile: the client may be sending the next request.
             if self.socket is not None:
                 self.server.idle[id(self.socket)] = self.socket
 
     def finalize_headers(self) -> None:
         if self.provided_date is None:
-            # The base class would ask the machine's clock, past the runtime.
+            # The base class would read the system clock instead of the runtime's.
             self.provided_date = format_date_time(self.server.runtime.wall())
             self.response_headers.append((b"Date", self.provided_date))
         if self.server.stopping:
@@ -63,8 +61,8 @@
 
     def handle_error(self, kind: Any, value: Any, trace: Any) -> None:
         if isinstance(value, AnswerCutError | OSError):
-            # Without the last chunk, or with fewer bytes than announced, the
-            # caller's own library sees that the answer is not whole.
+            # The missing last chunk, or a body shorter than its Content-Length, shows
+            # the caller that the response is truncated.
             self.close_connection = True
             return
         super().handle_error(kind, value, trace)
@@ -81,11 +79,11 @@
 
 
 class HttpServer:
-    """A listening HTTP server with one task for each connection.
+    """An HTTP server with one task per connection.
 
-    :param shared: whether a replacement may listen on the port at the same time.
-    :ivar address: where it listens.
-    :ivar connections: open now.
+    :param shared: whether a replacement process may listen on the port at the same time.
+    :ivar address: listening address.
+    :ivar connections: number of open connections.
     """
 
     def __init__(
@@ -119,11 +117,11 @@
             connection.close()
 
     def stop_accepting(self) -> None:
-        """Close the port; each open connection ends with its next answer."""
+        """Close the port; each open connection closes after its next response."""
         self._server.stopping = True
         self._listener.close()
 
     def close_idle(self) -> None:
-        """Close the connections on which no request is in flight."""
+        """Close the connections without a request in flight."""
         for connection in list(self._server.idle.values()):
             connection.close()
--- a/src/cranklane/common/line_queue.py
+++ b/src/cranklane/common/line_queue.py
@@ -1,7 +1,6 @@
-"""Writes lines to a file descriptor without ever waiting for it.
+"""Non-blocking line output through a bounded queue.
 
-Owns the lines that wait: a bounded queue, so that a reader that is slow or gone never delays
-a request; lines are left out and counted instead.
+A slow or absent reader never delays a request: lines are dropped and counted instead.
 """
 
 from __future__ import annotations
@@ -12,21 +11,19 @@
 import gevent
 
 QUEUE_LINES = 4000
-"""Lines that wait to be written; beyond that the oldest are left out. A choice: some megabytes
-at most, and several seconds of a busy process."""
+"""Maximum number of queued lines; the oldest are dropped beyond it."""
 
 FLUSH_SECONDS = 0.5
-"""Lines gather this long, so that many leave in one write: a wake-up of a process among
-hundreds costs far more than the lines."""
+"""Delay before a write; batches lines, as each wake-up costs more than many lines."""
 
 WRITE_BYTES = 64 * 1024
-"""Bytes of one write at least, when so many wait. A choice: what a pipe takes at once."""
+"""Size at which a batch of lines is written; the capacity of a pipe."""
 
 
 class LineQueue:
-    """Lines on their way to a file descriptor that may take none.
+    """Queues lines for a non-blocking file descriptor.
 
-    :ivar left_out: lines that were never written.
+    :ivar left_out: number of dropped lines.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -37,7 +34,7 @@
         self.left_out = 0
 
     def put(self, line: str) -> None:
-        """Add a line; the oldest goes when the queue is full."""
+        """Add a line, dropping the oldest one if the queue is full."""
         if len(self._lines) >= QUEUE_LINES:
             self._lines.popleft()
             self.left_out += 1
@@ -53,7 +50,7 @@
         self._flushing = False
 
     def write_now(self) -> None:
-        """Write what the descriptor takes without waiting."""
+        """Write as many lines as the descriptor accepts without blocking."""
         while self._lines or self._partial:
             if not self._partial:
                 self._partial = self._next_block()
@@ -62,7 +59,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; the lines are of no use to anybody.
+                # The reader has gone: the queued lines can no longer be delivered.
                 self._partial = b""
                 self._lines.clear()
                 return
--- a/src/cranklane/common/logs.py
+++ b/src/cranklane/common/logs.py
@@ -1,10 +1,10 @@
-"""Structured logs: one JSON line for each change of state and each decision.
+"""Structured logging: one JSON line for each state change and each decision.
 
-Owns where the lines of this process go: standard output, through
-:mod:`~cranklane.common.line_queue`, unless a test or the simulation takes them.
+Lines go to standard output through :mod:`~cranklane.common.line_queue`, or to the sink
+that a test or the simulation sets.
 
-The lines have the form that ``structlog`` gives them. The library itself is not used:
-its import was a quarter of the processor time of a sidecar's start.
+The format is that of ``structlog``, which is not used because its import slows the start
+of a process.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from cranklane.common.line_queue import LineQueue
 
 LineSink = Callable[[str], None]
-"""Takes one finished line."""
+"""Receives each formatted line."""
 
 
-def _nowhere(_line: str) -> None:
-    """Take a line of a process that writes no logs."""
+def _discard_line(_line: str) -> None:
+    """Discard a line; the sink of a process without logs."""
 
 
 def _print_line(line: str) -> None:
@@ -32,13 +32,13 @@
 
 
 class _Output:
-    """Where the lines of this process go."""
+    """The log sink of this process."""
 
     sink: LineSink = staticmethod(_print_line)
 
 
 def configure_logs() -> LineQueue:
-    """Write lines to standard output through a queue, and return it."""
+    """Send log lines to standard output through a queue, and return the queue."""
     sys.stdout.flush()
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
@@ -48,34 +48,34 @@
 
 
 def write_lines_to(sink: LineSink | None) -> None:
-    """Give every line of this process to a function; None: to none."""
-    _Output.sink = staticmethod(sink or _nowhere)
+    """Set the log sink of this process; None discards all lines."""
+    _Output.sink = staticmethod(sink or _discard_line)
 
 
 class Logger:
-    """Writes events with fields that stand in each of them.
+    """Writes events as JSON lines.
 
-    :param fields: those fields.
+    :param fields: fields added to every line.
     """
 
     def __init__(self, fields: dict[str, Any]) -> None:
         self._fields = fields
 
     def info(self, event: str, **fields: Any) -> None:
-        """Write what was decided or has changed."""
+        """Log a decision or a state change."""
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Write what an operator may want to know of."""
+        """Log a condition that may need an operator's attention."""
         self._write("warning", event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        """Write what is broken."""
+        """Log a failure."""
         self._write("error", event, fields)
 
     def _write(self, level: str, event: str, fields: dict[str, Any]) -> None:
         sink = _Output.sink
-        if sink is _nowhere:
+        if sink is _discard_line:
             return
         now = datetime.fromtimestamp(time.time(), UTC)
         line = {
@@ -89,5 +89,5 @@
 
 
 def logger(**fields: Any) -> Logger:
-    """Return a logger whose lines all have these fields."""
+    """Return a logger that adds these fields to every line."""
     return Logger(fields)
--- a/src/cranklane/common/metrics_server.py
+++ b/src/cranklane/common/metrics_server.py
@@ -1,7 +1,7 @@
-"""Serves counters in the Prometheus text format at ``/metrics``.
+"""Serves metrics in the Prometheus text format at ``/metrics``.
 
-The library that writes the format is imported when figures are first asked for: at the
-start of a process, callers wait.
+The Prometheus client is imported on the first request to keep the start of a process
+short.
 """
 
 from __future__ import annotations
@@ -17,35 +17,39 @@
 
 
 class MetricsServer:
-    """Answers ``GET /metrics``.
+    """Handles ``GET /metrics``.
 
-    :param text: returns everything in the text format.
+    :param text: returns all metrics in the text format.
     """
 
     def __init__(self, text: Callable[[], bytes]) -> None:
         self._text = text
 
     def handle(self, method: str, path: str, _body: bytes) -> SmallAnswer:
-        """Answer one call."""
+        """Return the response to a request."""
         if method != "GET" or path != METRICS_PATH:
             return SmallAnswer(HTTPStatus.NOT_FOUND)
         return SmallAnswer(HTTPStatus.OK, self._text(), _CONTENT_TYPE)
 
 
 class GaugeRegistry:
-    """Gauges of one process that are read when they are asked for."""
+    """Gauges of one process, read at each scrape."""
 
     def __init__(self) -> None:
         self._gauges: list[tuple[str, str, Callable[[], float]]] = []
 
     def add(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Add a gauge."""
+        """Register a gauge.
+
+        :param text: help text of the metric.
+        :param read: returns the current value.
+        """
         self._gauges.append((name, text, read))
 
     def text(self, collectors: Iterable[Any] = ()) -> bytes:
-        """Return everything in the text format.
+        """Return all metrics in the text format.
 
-        :param collectors: further sources of the library's metric families.
+        :param collectors: further Prometheus collectors to include.
         """
         from prometheus_client import CollectorRegistry, Gauge, generate_latest
 
--- a/src/cranklane/common/rate_limit.py
+++ b/src/cranklane/common/rate_limit.py
@@ -1,4 +1,4 @@
-"""Bounds how many log lines of a kind are written."""
+"""Rate limit for log lines."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 
 class RateLimit:
-    """Bounds how many lines of a kind are written, and counts those left out.
+    """Token bucket that counts suppressed lines.
 
-    :param per_second: lines that are written at most, with a burst of one second.
-    :ivar left_out: lines left out since :meth:`take_left_out` was last called.
+    :param per_second: lines allowed per second; also the burst size.
+    :ivar left_out: lines suppressed since the last call of :meth:`take_left_out`.
     """
 
     def __init__(self, clock: Callable[[], float], per_second: float) -> None:
         self._clock = clock
         self._per_second = per_second
         self._tokens = per_second
-        self._filled_at = clock()
+        self._refilled_at = clock()
         self.left_out = 0
 
     def allows(self) -> bool:
-        """Return whether one more line may be written."""
+        """Return whether a line may be written now, and count it if not."""
         now = self._clock()
-        earned = (now - self._filled_at) * self._per_second
-        self._filled_at = now
-        self._tokens = min(self._per_second, self._tokens + earned)
+        refill = (now - self._refilled_at) * self._per_second
+        self._refilled_at = now
+        self._tokens = min(self._per_second, self._tokens + refill)
         if self._tokens < 1:
             self.left_out += 1
             return False
@@ -32,6 +32,6 @@
         return True
 
     def take_left_out(self) -> int:
-        """Return how many lines were left out, and count from zero again."""
+        """Return the number of suppressed lines and reset it."""
         left_out, self.left_out = self.left_out, 0
         return left_out
--- a/src/cranklane/common/request_headers.py
+++ b/src/cranklane/common/request_headers.py
@@ -1,9 +1,8 @@
-"""Reads the header fields of an HTTP/1.1 request, strictly.
+"""Strict parser for the header fields of an HTTP/1.1 request.
 
-What two parsers could read differently is refused, so that no request can be
-hidden inside another: repeated or contradicting lengths, folded lines, spaces
-before the colon, control characters. It also costs a fraction of the standard
-library's mail parser, which the WSGI server would use.
+Prevents request smuggling by rejecting ambiguous headers: repeated or conflicting
+lengths, folded lines, spaces before the colon, control characters. Replaces the WSGI
+server's default, the slower mail parser of the standard library.
 """
 
 from __future__ import annotations
@@ -13,21 +12,21 @@
 from typing import BinaryIO
 
 MAX_FIELDS = 100
-"""Header fields of one request at most. A choice: what most servers allow."""
+"""Maximum number of header fields of a request."""
 
 MAX_LINE_BYTES = 16 * 1024
-"""Longest header line in bytes. A choice: tokens and cookies fit."""
+"""Maximum length of a header line."""
 
 _NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 _CONTROL = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
-_ONLY_ONCE = frozenset({"content-length", "transfer-encoding", "host", "authorization"})
+_SINGLE_VALUED_FIELDS = frozenset({"content-length", "transfer-encoding", "host", "authorization"})
 
 
 class RequestHeaders:
-    """Header fields with the methods that the WSGI server uses.
+    """Header fields with the interface that the WSGI server expects.
 
-    :ivar status: what is wrong with the fields; empty when nothing is.
-    :ivar fields: (name, value) in the order they came.
+    :ivar status: why the fields are invalid; empty if they are valid.
+    :ivar fields: (name, value) in the order received.
     """
 
     def __init__(self) -> None:
@@ -37,33 +36,33 @@
 
     @classmethod
     def read(cls, file: BinaryIO) -> RequestHeaders:
-        """Read fields up to the empty line."""
+        """Read header fields up to the empty line."""
         headers = cls()
         while not headers.status:
             line = file.readline(MAX_LINE_BYTES + 1)
             if line in (b"\r\n", b"\n"):
                 headers._check_length()
                 break
-            headers._take(line)
+            headers._parse_line(line)
         return headers
 
-    def _take(self, line: bytes) -> None:
+    def _parse_line(self, line: bytes) -> None:
         name, colon, value = line.decode("latin-1").partition(":")
         if not line.endswith(b"\n"):
-            self.status = "a header line is too long, or the headers are cut"
+            self.status = "a header line is too long, or the headers are truncated"
         elif not colon or not _NAME.fullmatch(name):
-            self.status = "a header line is malformed"
+            self.status = "a header line is not of the form NAME: VALUE"
         elif len(self.fields) >= MAX_FIELDS:
             self.status = f"more than {MAX_FIELDS} header fields"
         else:
-            self._add(name, value.strip(" \t\r\n"))
+            self._add_field(name, value.strip(" \t\r\n"))
 
-    def _add(self, name: str, value: str) -> None:
+    def _add_field(self, name: str, value: str) -> None:
         key = name.lower()
         if _CONTROL.search(value):
-            self.status = f"control character in {name}"
-        elif key in _ONLY_ONCE and key in self._first:
-            self.status = f"{name} is stated twice"
+            self.status = f"control character in the value of {name}"
+        elif key in _SINGLE_VALUED_FIELDS and key in self._first:
+            self.status = f"{name} is repeated"
         self.fields.append((name, value))
         self._first.setdefault(key, value)
 
@@ -71,25 +70,25 @@
         length = self._first.get("content-length")
         coding = self._first.get("transfer-encoding")
         if length is not None and not (length.isascii() and length.isdigit()):
-            self.status = "Content-Length is not a number"
+            self.status = "Content-Length is not a decimal number"
         elif coding is not None and (length is not None or coding.lower() != "chunked"):
-            self.status = "Transfer-Encoding other than chunked, or beside Content-Length"
+            self.status = "Transfer-Encoding is not chunked, or is combined with Content-Length"
 
     def get(self, name: str, default: str | None = None) -> str | None:
-        """Return the first value of a field."""
+        """Return the first value of a field, or the default."""
         return self._first.get(name.lower(), default)
 
     getheader = get
 
     @property
     def typeheader(self) -> str | None:
-        """The content type."""
+        """The ``Content-Type`` field, under the name that gevent reads."""
         return self.get("content-type")
 
     def environment(self) -> Iterator[tuple[str, str]]:
-        """Yield (key, value) for the WSGI environment.
+        """Yield (key, value) pairs of the WSGI environment.
 
-        A name with an underscore would look like one with a dash, and is left out.
+        Skips names with an underscore: their keys would equal those of names with a dash.
         """
         for name, value in self.fields:
             key = name.upper()
--- a/src/cranklane/common/small_http.py
+++ b/src/cranklane/common/small_http.py
@@ -1,7 +1,6 @@
-"""A small HTTP/1.1 server for a daemon's own few calls.
+"""Minimal HTTP/1.1 server for a daemon's internal endpoints.
 
-It needs neither a web framework nor a WSGI server, whose memory each sidecar
-would pay for a handful of calls a second.
+Avoids the memory cost of a web framework or a WSGI server in each sidecar.
 """
 
 from __future__ import annotations
@@ -20,23 +19,20 @@
 from cranklane.runtime.interface import Address, Runtime
 
 MAX_HEAD_BYTES = 16 * 1024
-"""Largest head of a request. A choice: far above what these calls need."""
+"""Maximum size of a request head."""
 
 MAX_BODY_BYTES = 256 * 1024
-"""Largest body of a request; the connection of a larger one is closed. A choice: far above
-what these calls need."""
+"""Maximum size of a request body; a larger one closes the connection."""
 
 IDLE_SECONDS = 30.0
-"""Seconds a kept connection may rest between requests. A choice: longer than the pause between
-two collections of metrics."""
+"""Idle time-out of a connection; longer than the interval of metric scrapes."""
 
 READ_SECONDS = 5.0
-"""Seconds a caller has for the head of a request, and between pieces of its body. A choice:
-a caller in the same network needs far less."""
+"""Time-out for the head of a request, and for each receive of its body."""
 
 
 class SmallAnswer(NamedTuple):
-    """An answer: its status, its body and the body's type."""
+    """A response with its status, body and content type."""
 
     status: int = HTTPStatus.OK.value
     body: bytes = b""
@@ -44,24 +40,24 @@
 
 
 SmallHandler = Callable[[str, str, bytes], SmallAnswer]
-"""Answers a method, a path without its query, and a body."""
+"""Handles a request: method, path without its query, body."""
 
 
 class SmallHttp:
-    """Serves connections with one handler."""
+    """Serves connections, passing each request to a handler."""
 
     def __init__(self, runtime: Runtime, handler: SmallHandler) -> None:
         self._runtime = runtime
         self._handler = handler
 
     def accept(self, stream: Any, _address: Address) -> None:
-        """Serve a connection until it ends."""
+        """Serve requests on a connection until it ends."""
         reader = RequestReader(stream, MAX_HEAD_BYTES)
         try:
             while self._serve(stream, reader):
                 pass
         except (OSError, MalformedMessageError, MessageCutError, HeadTooLargeError):
-            # The caller has left, is too slow, or speaks no HTTP: nobody takes an answer.
+            # No response: the caller has gone, timed out or did not send valid HTTP.
             pass
         finally:
             stream.close()
@@ -72,8 +68,8 @@
             return False
         stream.settimeout(READ_SECONDS)
         body = b""
-        while piece := reader.next_piece():
-            body += piece
+        while data := reader.next_piece():
+            body += data
             if len(body) > MAX_BODY_BYTES:
                 return False
         reader.finish()
--- a/src/cranklane/common/units.py
+++ b/src/cranklane/common/units.py
@@ -1,4 +1,4 @@
-"""Factors between seconds, in which the program counts, and the units of records and headers."""
+"""Factors between seconds, the internal unit, and the units of records and headers."""
 
 from __future__ import annotations
 
