--- a/src/cranklane/runtime/__init__.py
+++ b/src/cranklane/runtime/__init__.py
@@ -1,5 +1,5 @@
-"""The seam between the product and the machine: clocks, connections and files.
+"""Abstracts the operating system: clocks, connections and files.
 
-Sleeping, timeouts and events are gevent's own in production and in simulation;
-only what this package names differs between the two.
+The simulation has its own implementation of these interfaces. Sleeping, time-outs and
+events are gevent's in both.
 """
--- a/src/cranklane/runtime/interface.py
+++ b/src/cranklane/runtime/interface.py
@@ -1,4 +1,4 @@
-"""What a process may ask of its machine."""
+"""Interfaces between a process and the operating system."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
 from gevent import Greenlet
 
 Address = tuple[str, int]
-"""IP number and port."""
+"""IP address and port."""
 
 
 class Connection(Protocol):
-    """A stream connection: the methods of a socket that the product uses."""
+    """A stream connection with the socket methods that the processes use."""
 
     def recv(self, size: int, /) -> bytes:
-        """Return the next bytes, at most ``size``; nothing at the end."""
+        """Return up to ``size`` bytes; empty at the end of the stream."""
 
     def sendall(self, data: bytes, /) -> None:
-        """Send all bytes, waiting while the far end takes none."""
+        """Send all bytes, blocking while the send buffer is full."""
 
     def settimeout(self, seconds: float | None, /) -> None:
-        """Bound each later wait; it then raises TimeoutError."""
+        """Set the time-out after which a blocking call raises TimeoutError; None disables it."""
 
     def makefile(self, mode: str = "rb", buffering: int = -1) -> BinaryIO:
-        """Return a file that reads from the connection."""
+        """Return a file object that reads from the connection."""
 
     def close(self) -> None:
-        """Close it; a wait of another task on it ends with an error."""
+        """Close the connection; a blocking call of another task on it raises an error."""
 
 
 ConnectionHandler = Callable[[Any, Address], None]
-"""Called in a task of its own for each accepted connection."""
+"""Called in a new task for each accepted connection."""
 
 
 class Listener(Protocol):
-    """An open listening address."""
+    """An open listening socket."""
 
     address: Address
 
@@ -46,107 +46,107 @@
 
 
 class Storage(ABC):
-    """Files of one data folder. A write lasts only once it is synced."""
+    """Files of one data folder; a write is durable only once it is synced."""
 
     @abstractmethod
     def read(self, name: str) -> bytes | None:
-        """Return a file's bytes, or None when there is no such file."""
+        """Return a file's content, or None if the file does not exist."""
 
     @abstractmethod
     def replace(self, name: str, data: bytes) -> None:
-        """Put a file in place whole: write new, sync, rename, sync the folder."""
+        """Replace a file atomically: write a new one, sync, rename, sync the folder."""
 
     @abstractmethod
     def append(self, name: str, data: bytes) -> None:
-        """Write at a file's end, creating it; not yet durable."""
+        """Append to a file, creating it if missing; durable only after :meth:`sync`."""
 
     @abstractmethod
     def sync(self, name: str) -> None:
-        """Make all that was appended to a file durable; other tasks run meanwhile."""
+        """Make the appended data of a file durable; other tasks run meanwhile."""
 
     @abstractmethod
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes and sync it."""
+        """Truncate a file to ``size`` bytes and sync it."""
 
     @abstractmethod
     def remove(self, name: str) -> None:
-        """Delete a file if it is there."""
+        """Delete a file if it exists."""
 
     @abstractmethod
     def names(self) -> list[str]:
-        """Return the names of the files there, sorted."""
+        """Return the sorted names of the files in the folder."""
 
 
 class Runtime(ABC):
-    """One process's clocks, connections, files, randomness and tasks."""
+    """Clocks, connections, files, random numbers and tasks of one process."""
 
     random: Random
     """Seeded in simulation; from the operating system in production."""
 
     @abstractmethod
     def monotonic(self) -> float:
-        """Return seconds on a clock that never steps back.
+        """Return a monotonic clock in seconds.
 
-        It counts the time for which the machine was suspended; the timers of tasks don't. So a
-        wait may end late by this clock, and its condition must be checked again.
+        The clock includes time in which the machine was suspended; timers of tasks do not. A
+        wait may therefore end late, and its condition must be checked again.
         """
 
     @abstractmethod
     def wall(self) -> float:
-        """Return seconds since 1970 on a clock that may be wrong."""
+        """Return the wall clock in seconds since 1970; it may be wrong or step."""
 
     @abstractmethod
     def spawn(self, function: Callable[..., Any], *arguments: Any) -> Greenlet:
-        """Start a task that ends with the process."""
+        """Start a greenlet; it does not outlive the process."""
 
     @abstractmethod
     def connect(self, address: Address, timeout: float) -> Any:
         """Open a connection.
 
-        :raises OSError: when nobody answers within ``timeout`` seconds.
+        :raises OSError: if the connection fails or takes longer than ``timeout`` seconds.
         """
 
     @abstractmethod
     def listen(self, address: Address, handler: ConnectionHandler, shared: bool = True) -> Listener:
-        """Accept connections on an address; port 0 takes a free one.
+        """Accept connections on an address; port 0 chooses a free port.
 
-        :param shared: whether another process may listen there at the same time,
-            so that a replacement takes the port while this one finishes.
-        :raises OSError: when the address is taken.
+        :param shared: whether another process may listen on the address at the same time, as
+            a replacement does while this process drains.
+        :raises OSError: if the address is in use.
         """
 
     @abstractmethod
     def hung_up(self, connections: Iterable[Any]) -> list[Any]:
-        """Return those connections whose far end has closed or broken."""
+        """Return the connections that were closed by the peer or have failed."""
 
     @abstractmethod
     def has_input(self, connection: Any) -> bool:
-        """Return whether a connection has bytes to read, has ended or is broken."""
+        """Return whether a connection has bytes to read, is closed or has failed."""
 
     @abstractmethod
     def end_when_unheard(self, connection: Any) -> None:
-        """Break a connection whose far end acknowledges nothing that was sent for a while.
+        """Make a connection fail if the peer stops acknowledging sent data.
 
-        Without it, a connection to a machine that has lost power, or is cut off,
-        would seem to work until the kernel gives up after many minutes.
+        Without this time-out, the kernel would report a peer that has lost power or
+        network only after many minutes.
         """
 
     @abstractmethod
     def storage(self, folder: str) -> Storage:
-        """Return the files of a data folder, creating it."""
+        """Return the storage of a data folder, creating the folder if missing."""
 
 
 def parse_address(text: str) -> Address:
     """Return the (host, port) of ``host:port``.
 
-    :raises ValueError: when the text is no such address.
+    :raises ValueError: if the text is not of this form.
 
     >>> parse_address("127.0.0.1:80")
     ('127.0.0.1', 80)
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        raise ValueError(f"{text!r} is not host:port")
+        raise ValueError(f"{text!r} is not an address of the form host:port")
     return host, int(port)
 
 
--- a/src/cranklane/runtime/real.py
+++ b/src/cranklane/runtime/real.py
@@ -1,4 +1,4 @@
-"""The runtime of a production process: the kernel's sockets, files and clocks."""
+"""Runtime of a production process: kernel sockets, files and clocks."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
     Runtime,
     Storage,
 )
-from cranklane.runtime.stream import StreamListener, connect, without_delay
+from cranklane.runtime.stream import StreamListener, connect, disable_nagle
 
 _LISTEN_BACKLOG = 1024
-"""Connections that wait to be accepted. A choice: after a restart of the fleet all peers of a
-process connect within a second."""
+"""Backlog of unaccepted connections; all peers may connect at once after a fleet restart."""
 
-_UNACKNOWLEDGED_MS = 1500
-"""Milliseconds for which sent bytes may stay unacknowledged before the kernel breaks the
-connection. A choice: several retransmissions on a link that loses packets, and a machine
-without power is noticed within the time for which a follower waits for its controller."""
+_ACK_TIMEOUT_MS = 1500
+"""Time for which sent data may stay unacknowledged before the connection fails.
+
+Allows several retransmissions, but is shorter than a follower's wait for its controller.
+"""
 
 _DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class RealListener:
-    """A listening socket; several processes may hold the same port at once."""
+    """A listening socket, optionally shared with other processes through SO_REUSEPORT."""
 
     def __init__(self, address: Address, handler: ConnectionHandler, shared: bool) -> None:
         listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        # Connections that are accepted have it from here, without a call for each.
-        without_delay(listening)
+        # Accepted connections inherit the option, which saves a system call for each.
+        disable_nagle(listening)
         listening.bind(address)
         listening.listen(_LISTEN_BACKLOG)
         self.address: Address = listening.getsockname()[:2]
@@ -56,7 +56,7 @@
 
     def close(self) -> None:
         """Stop accepting; connections already accepted go on."""
-        # StreamServer.stop would end the handlers too.
+        # StreamServer.stop would also stop the handlers of open connections.
         self._server.stop_accepting()
         self._server.socket.close()
 
@@ -70,12 +70,12 @@
         folder.mkdir(parents=True, exist_ok=True)
 
     def read(self, name: str) -> bytes | None:
-        """Return a file's bytes, or None when there is no such file."""
+        """Return a file's content, or None if the file does not exist."""
         path = self._folder / name
         return path.read_bytes() if path.exists() else None
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a file in place whole: write new, sync, rename, sync the folder."""
+        """Replace a file atomically: write a new one, sync, rename, sync the folder."""
         gevent.get_hub().threadpool.apply(self._replace, (name, data))
 
     def _replace(self, name: str, data: bytes) -> None:
@@ -89,7 +89,7 @@
         self._sync_folder()
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at a file's end, creating it; not yet durable."""
+        """Append to a file, creating it if missing; durable only after :meth:`sync`."""
         if name not in self._open_files:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND
             self._open_files[name] = os.open(self._folder / name, flags, 0o600)
@@ -100,26 +100,26 @@
             remaining = remaining[written:]
 
     def sync(self, name: str) -> None:
-        """Make all that was appended durable; runs in a thread, so others go on."""
+        """Make the appended data of a file durable, in a thread so that other tasks run."""
         descriptor = self._open_files.get(name)
         if descriptor is not None:
             gevent.get_hub().threadpool.apply(os.fdatasync, (descriptor,))
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes and sync it."""
+        """Truncate a file to ``size`` bytes and sync it."""
         self._close(name)
         with (self._folder / name).open("r+b") as file:
             file.truncate(size)
             os.fsync(file.fileno())
 
     def remove(self, name: str) -> None:
-        """Delete a file if it is there."""
+        """Delete a file if it exists."""
         self._close(name)
         (self._folder / name).unlink(missing_ok=True)
         self._sync_folder()
 
     def names(self) -> list[str]:
-        """Return the names of the files there, sorted."""
+        """Return the sorted names of the files in the folder."""
         return sorted(path.name for path in self._folder.iterdir() if path.is_file())
 
     def _close(self, name: str) -> None:
@@ -136,40 +136,40 @@
 
 
 class RealRuntime(Runtime):
-    """Kernel sockets through gevent, local files and the system's clocks."""
+    """Runtime with gevent sockets, local files and the system clocks."""
 
     def __init__(self) -> None:
         self.random = Random()
 
     def monotonic(self) -> float:
-        """Return seconds on a clock that never steps back and counts a suspension.
+        """Return a monotonic clock in seconds that includes suspended time.
 
-        CLOCK_MONOTONIC stands still during a suspension: a lease that others consider expired
-        would still hold here.
+        CLOCK_MONOTONIC stops while the machine is suspended: a lease that has expired for
+        other processes would still be valid here.
         """
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
-        """Return seconds since 1970 on a clock that may be wrong."""
+        """Return the wall clock in seconds since 1970; it may be wrong or step."""
         return time.time()
 
     def spawn(self, function: Callable[..., Any], *arguments: Any) -> Greenlet:
-        """Start a task that ends with the process."""
+        """Start a greenlet; it does not outlive the process."""
         return gevent.spawn(function, *arguments)
 
     def connect(self, address: Address, timeout: float) -> socket.socket:
         """Open a TCP connection.
 
-        :raises OSError: when nobody answers within ``timeout`` seconds.
+        :raises OSError: if the connection fails or takes longer than ``timeout`` seconds.
         """
         return connect(address, timeout)
 
     def listen(self, address: Address, handler: ConnectionHandler, shared: bool = True) -> Listener:
-        """Accept TCP connections on an address; port 0 takes a free one."""
+        """Accept TCP connections on an address; port 0 chooses a free port."""
         return RealListener(address, handler, shared)
 
     def hung_up(self, connections: Iterable[Any]) -> list[Any]:
-        """Return those connections whose far end has closed or broken."""
+        """Return the connections that were closed by the peer or have failed."""
         poll = select.poll()
         by_descriptor = {}
         for connection in connections:
@@ -180,19 +180,19 @@
         return [by_descriptor[ready] for ready, _ in poll.poll(0)]
 
     def has_input(self, connection: Any) -> bool:
-        """Return whether a connection has bytes to read, has ended or is broken."""
+        """Return whether a connection has bytes to read, is closed or has failed."""
         descriptor = connection.fileno()
         if descriptor < 0:
-            # Closed here, by another task.
+            # Another task of this process has closed the connection.
             return True
         poll = select.poll()
         poll.register(descriptor, select.POLLIN | _DISCONNECTED)
         return bool(poll.poll(0))
 
     def end_when_unheard(self, connection: Any) -> None:
-        """Break a connection whose far end acknowledges nothing that was sent for a while."""
-        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS)
+        """Make a connection fail if the peer stops acknowledging sent data."""
+        connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _ACK_TIMEOUT_MS)
 
     def storage(self, folder: str) -> Storage:
-        """Return the files of a data folder, creating it."""
+        """Return the storage of a data folder, creating the folder if missing."""
         return FileStorage(Path(folder))
--- a/src/cranklane/runtime/stream.py
+++ b/src/cranklane/runtime/stream.py
@@ -1,9 +1,9 @@
-"""TCP sockets that need fewer system calls than gevent's.
+"""TCP sockets with fewer system calls than gevent's.
 
-System calls are a large part of the processor time of a process that serves many small
-requests. gevent's ``recv`` reads before it waits, which fails whenever the answer is not there
-yet; its ``sendall`` asks for the buffer's size each time and measures its time-out on the wall
-clock, which may step; its waits create an exception object for each time-out.
+System calls take much of the processor time of a process that serves many small requests.
+gevent's ``recv`` tries to read before data has arrived; its ``sendall`` queries the buffer
+size on each call and measures the time-out on the wall clock, which may step; its waits
+create an exception object for each time-out.
 """
 
 from __future__ import annotations
@@ -21,31 +21,32 @@
 class Stream(socket.socket):
     """A TCP connection.
 
-    :ivar waits_first: whether ``recv`` waits before it reads: true for a connection opened
-        here, and after the first bytes.
+    :ivar wait_before_recv: whether ``recv`` waits for input before it reads; false only for
+        the first read of an accepted connection.
     """
 
-    waits_first = False
+    wait_before_recv = False
 
     def recv(self, *arguments: Any) -> bytes:
-        """Return the next bytes; nothing at the end."""
-        if self.waits_first and self.timeout != 0.0:
+        """Return the next bytes; empty at the end of the stream."""
+        if self.wait_before_recv and self.timeout != 0.0:
             self._wait_for_input()
-        self.waits_first = True
+        self.wait_before_recv = True
         return super().recv(*arguments)
 
     def _wait_for_input(self) -> None:
-        """Wait until there is something to read.
+        """Wait until the connection is readable.
 
         :raises TimeoutError: after the connection's time-out.
-        :raises OSError: when the connection is closed, by whichever task.
+        :raises OSError: if the connection is closed.
+        :raises InvariantError: if another task is waiting to read from the connection.
         """
-        # A close by another task takes the watcher from the connection.
+        # Closing the connection in another task clears the watcher.
         watcher = self._read_event
         if watcher is None:
             raise OSError(errno.EBADF, "the connection is closed")
         if watcher.callback is not None:
-            raise InvariantError("two tasks read from one connection")
+            raise InvariantError("another task is already reading from the connection")
         hub = get_hub()
         waiter = Waiter(hub)
         timer = None
@@ -62,48 +63,51 @@
                 timer.close()
 
     def sendall(self, data: bytes, flags: int = 0) -> None:  # type: ignore[override]
-        """Send all bytes; a far end that takes none for the time-out raises it."""
+        """Send all bytes.
+
+        :raises TimeoutError: if no byte can be sent within the connection's time-out.
+        """
         sent = self.send(data, flags)
         if sent == len(data):
             return
-        rest = memoryview(data)[sent:]
-        while rest:
-            sent = self.send(rest, flags)
-            rest = rest[sent:]
+        remaining = memoryview(data)[sent:]
+        while remaining:
+            sent = self.send(remaining, flags)
+            remaining = remaining[sent:]
 
 
 def connect(address: tuple[str, int], timeout: float) -> Stream:
-    """Open a connection without Nagle's delay.
+    """Open a connection with Nagle's algorithm disabled.
 
-    :raises OSError: when nobody answers within ``timeout`` seconds.
+    :raises OSError: if the connection fails or takes longer than ``timeout`` seconds.
     """
     stream = Stream(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        without_delay(stream)
+        disable_nagle(stream)
         stream.settimeout(timeout)
         stream.connect(address)
     except BaseException:
         stream.close()
         raise
-    stream.waits_first = True
+    stream.wait_before_recv = True
     return stream
 
 
-def without_delay(stream: Any) -> Any:
-    """Send small writes at once.
+def disable_nagle(stream: Any) -> Any:
+    """Disable Nagle's algorithm on a socket and return the socket.
 
-    Head and body of an HTTP message may leave in two writes; with Nagle's
-    algorithm the second waits 40 ms for the far end's delayed ACK.
+    The head and the body of an HTTP message may be two writes; with Nagle's algorithm the
+    second would wait for the peer's delayed ACK.
     """
     stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return stream
 
 
 class StreamListener(StreamServer):
-    """Accepts connections as :class:`Stream`."""
+    """A server whose accepted connections are :class:`Stream` objects."""
 
     def do_read(self) -> Any:
-        """Accept one connection, or return None when there is none."""
+        """Accept a connection; return None if there is none."""
         listening = self.socket
         try:
             descriptor, address = listening._accept()
--- a/tests/test_request_headers.py
+++ b/tests/test_request_headers.py
@@ -1,4 +1,4 @@
-"""Header fields that two parsers could read differently are refused."""
+"""Ambiguous header fields, which allow request smuggling, are rejected."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     assert headers.get("body") is None
 
 
-def test_the_environment_leaves_out_names_that_could_be_taken_for_others():
+def test_environment_skips_header_names_with_underscores():
     headers = read(b"Cranklane_Context: forged\r\nCranklane-Context: a\r\nContent-Type: t\r\n\r\n")
     assert list(headers.environment()) == [("HTTP_CRANKLANE_CONTEXT", "a")]
     assert headers.typeheader == "t"
@@ -50,5 +50,5 @@
         b"X: a\r\n" * (MAX_FIELDS + 1) + b"\r\n",
     ],
 )
-def test_what_could_hide_a_request_is_refused(text):
+def test_ambiguous_headers_are_rejected(text):
     assert read(text).status
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Waits of kernel sockets: for bytes, for a time-out, and while another task closes."""
+"""Blocking reads of kernel sockets: data, time-outs and a close by another task."""
 
 from __future__ import annotations
 
@@ -13,70 +13,70 @@
 
 @pytest.fixture
 def pair():
-    """Return a dialled connection and the accepted end of it."""
+    """Yield the client and the server end of a connection."""
     accepted = []
-    ended = Event()
+    finished = Event()
 
     def serve(stream, _address):
         accepted.append(stream)
-        ended.wait()
+        finished.wait()
 
     runtime = RealRuntime()
     listener = runtime.listen(("127.0.0.1", 0), serve)
-    near = runtime.connect(listener.address, 1.0)
+    client = runtime.connect(listener.address, 1.0)
     while not accepted:
         gevent.sleep(0.001)
-    yield near, accepted[0]
-    ended.set()
-    near.close()
+    yield client, accepted[0]
+    finished.set()
+    client.close()
     listener.close()
 
 
-def test_a_wait_ends_with_the_bytes_that_come(pair):
-    near, far = pair
-    gevent.spawn_later(0.02, far.sendall, b"late")
-    assert near.recv(100) == b"late"
+def test_recv_returns_data_that_arrives_later(pair):
+    client, server = pair
+    gevent.spawn_later(0.02, server.sendall, b"late")
+    assert client.recv(100) == b"late"
 
 
-def test_a_wait_ends_with_its_time_out_and_the_connection_goes_on(pair):
-    near, far = pair
-    near.settimeout(0.02)
+def test_recv_times_out_and_the_connection_stays_usable(pair):
+    client, server = pair
+    client.settimeout(0.02)
     with pytest.raises(TimeoutError):
-        near.recv(100)
-    far.sendall(b"after")
-    near.settimeout(1.0)
-    assert near.recv(100) == b"after"
+        client.recv(100)
+    server.sendall(b"after")
+    client.settimeout(1.0)
+    assert client.recv(100) == b"after"
 
 
-def test_a_wait_ends_when_another_task_closes_the_connection(pair):
-    near, _ = pair
-    gevent.spawn_later(0.02, near.close)
+def test_recv_fails_when_another_task_closes_the_connection(pair):
+    client, _ = pair
+    gevent.spawn_later(0.02, client.close)
     with pytest.raises(OSError):
-        near.recv(100)
+        client.recv(100)
 
 
-def test_nothing_is_read_from_a_closed_connection(pair):
-    near, _ = pair
-    near.close()
+def test_recv_fails_on_a_closed_connection(pair):
+    client, _ = pair
+    client.close()
     with pytest.raises(OSError):
-        near.recv(100)
+        client.recv(100)
 
 
-def test_a_wait_ends_at_the_far_end_s_close(pair):
-    near, far = pair
-    gevent.spawn_later(0.02, far.close)
-    assert near.recv(100) == b""
+def test_recv_returns_no_bytes_after_the_peer_closes(pair):
+    client, server = pair
+    gevent.spawn_later(0.02, server.close)
+    assert client.recv(100) == b""
 
 
-def test_two_tasks_never_read_from_one_connection(pair):
-    near, _ = pair
-    first = gevent.spawn(near.recv, 100)
+def test_second_concurrent_recv_is_rejected(pair):
+    client, _ = pair
+    first = gevent.spawn(client.recv, 100)
     gevent.sleep(0.01)
     with pytest.raises(InvariantError):
-        near.recv(100)
+        client.recv(100)
     first.kill()
 
 
-def test_small_writes_leave_at_once_at_both_ends(pair):
+def test_nagle_is_disabled_at_both_ends(pair):
     for stream in pair:
         assert stream.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY) != 0
