--- a/src/cranklane/records/__init__.py
+++ b/src/cranklane/records/__init__.py
@@ -1,1 +1,1 @@
-"""The binary protocol between the project's own processes."""
+"""Binary protocol between cranklane processes."""
--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -1,7 +1,7 @@
-"""Records over a stream connection.
+"""Sends and receives records on a stream connection.
 
-A frame is a head of 16 bytes (payload length, record kind, call number)
-followed by the record's bytes. Call 0 is the connection itself.
+A frame is a 16-byte head (payload size, record kind, magic number, call number) followed
+by the encoded record. Call 0 is the connection itself.
 """
 
 from __future__ import annotations
@@ -13,34 +13,36 @@
 from cranklane.records.messages import MESSAGES, Hello, Message
 
 PROTOCOL_VERSION = 1
-"""Version of the records; processes of different versions refuse each other."""
+"""Version of the record protocol; processes with different versions do not connect."""
 
 CONNECTION_CALL = 0
-"""Call number of records that belong to no call."""
+"""Call number of records that concern the connection as a whole."""
 
 MAX_PAYLOAD = 16 * 1024 * 1024
-"""Largest record taken, in bytes; a larger one ends the connection."""
+"""Maximum size of a received record, in bytes."""
 
 _FRAME_HEAD = Struct("!IHHQ")
-_FRAME_MARK = 0xC1A7
-"""Constant in each head, by which a reader notices that it has lost the frames' borders."""
+_FRAME_MAGIC = 0xC1A7
+"""Magic number in each head; reveals lost frame boundaries to the receiver."""
 
 _RECEIVE_SIZE = 64 * 1024
-"""Bytes asked of the socket at once. A choice: a small body and its head come in two reads."""
+"""Buffer size of one receive call, in bytes."""
 
 _Expected = TypeVar("_Expected")
 
 
 def encode_frame(call: int, message: Message) -> bytes:
-    """Return the bytes of one frame."""
+    """Return the encoded frame of a record."""
     payload = message.pack()
-    return _FRAME_HEAD.pack(len(payload), message.KIND, _FRAME_MARK, call) + payload
+    return _FRAME_HEAD.pack(len(payload), message.KIND, _FRAME_MAGIC, call) + payload
 
 
 class RecordConnection:
-    """Sends and receives records on one connection; many tasks may send at once.
+    """Sends and receives records on a connection; several tasks may send concurrently.
 
-    :ivar silent_after: seconds without a byte after which the peer counts as lost.
+    :ivar silent_after: seconds without a received byte after which the connection fails;
+        None for no limit.
+    :ivar bytes_received: total number of received bytes.
     """
 
     def __init__(self, connection: Any, silent_after: float | None = None) -> None:
@@ -54,43 +56,43 @@
         connection.settimeout(silent_after)
 
     def send(self, message: Message, call: int = CONNECTION_CALL) -> None:
-        """Send a record; returns when it, or the task that took it over, is writing.
+        """Send a record, or leave it to the task that is already sending.
 
-        :raises ConnectionLostError: when the connection is gone.
+        :raises ConnectionLostError: if the connection is closed or fails.
         """
         self.queue(message, call)
         self.flush()
 
     def send_frame(self, frame: bytes) -> None:
-        """Send a frame that is encoded already.
+        """Send an encoded frame.
 
-        :raises ConnectionLostError: when the connection is gone.
+        :raises ConnectionLostError: if the connection is closed or fails.
         """
         self._queue_frame(frame)
         self.flush()
 
     def queue(self, message: Message, call: int = CONNECTION_CALL) -> None:
-        """Add a record that leaves with the next flush.
+        """Queue a record for the next flush.
 
-        :raises ConnectionLostError: when the connection is gone.
+        :raises ConnectionLostError: if the connection is closed.
         """
         self._queue_frame(encode_frame(call, message))
 
     def _queue_frame(self, frame: bytes) -> None:
         if self.closed:
-            raise ConnectionLostError("connection is closed")
+            raise ConnectionLostError("the connection is closed")
         self._outgoing.append(frame)
 
     def flush(self) -> None:
-        """Write what is queued, unless another task is writing it already.
+        """Send the queued records, unless another task is already sending.
 
-        :raises ConnectionLostError: when the connection is gone.
+        :raises ConnectionLostError: if the connection fails.
         """
         if not self._sending:
             self._flush()
 
     def _flush(self) -> None:
-        # The first sender writes for all that come while it waits for the kernel.
+        # The sending task also sends records that other tasks queue while it blocks.
         self._sending = True
         try:
             while self._outgoing:
@@ -106,19 +108,19 @@
     def receive(self) -> tuple[int, Message]:
         """Return the next record and its call number.
 
-        :raises ConnectionLostError: at the end, or after silence.
-        :raises MalformedRecordError: when the bytes are no record of the schema.
+        :raises ConnectionLostError: if the connection ends, fails or times out.
+        :raises MalformedRecordError: if the bytes are not a record of the schema.
         """
-        head = self._take(_FRAME_HEAD.size)
-        size, kind, mark, call = _FRAME_HEAD.unpack(head)
-        if mark != _FRAME_MARK or size > MAX_PAYLOAD:
-            raise MalformedRecordError(f"frame of kind {kind} with {size} bytes")
+        head = self._receive_bytes(_FRAME_HEAD.size)
+        size, kind, magic, call = _FRAME_HEAD.unpack(head)
+        if magic != _FRAME_MAGIC or size > MAX_PAYLOAD:
+            raise MalformedRecordError(f"invalid frame head of kind {kind} with {size} bytes")
         message = MESSAGES.get(kind)
         if message is None:
             raise MalformedRecordError(f"unknown record kind {kind}")
-        return call, message.unpack(self._take(size))  # type: ignore[attr-defined]
+        return call, message.unpack(self._receive_bytes(size))  # type: ignore[attr-defined]
 
-    def _take(self, size: int) -> bytes:
+    def _receive_bytes(self, size: int) -> bytes:
         while len(self._received) < size:
             try:
                 data = self._connection.recv(_RECEIVE_SIZE)
@@ -130,48 +132,51 @@
                 raise ConnectionLostError("the peer closed the connection")
             self._received += data
             self.bytes_received += len(data)
-        taken = bytes(self._received[:size])
+        payload = bytes(self._received[:size])
         del self._received[:size]
-        return taken
+        return payload
 
     def expect(self, kind: type[_Expected]) -> _Expected:
-        """Return the next record, which must be of one kind.
+        """Return the next record, which must be of class ``kind``.
 
-        :raises MalformedRecordError: when it is of another kind.
+        :raises ConnectionLostError: if the connection ends, fails or times out.
+        :raises MalformedRecordError: if it is another record.
         """
         _, message = self.receive()
         if not isinstance(message, kind):
-            raise MalformedRecordError(f"{kind.__name__} expected, {type(message).__name__} came")
+            raise MalformedRecordError(f"{kind.__name__} expected, {type(message).__name__} found")
         return message
 
     def set_silent_after(self, seconds: float | None) -> None:
-        """Change how long the peer may be silent; None for no limit here."""
+        """Set the receive time-out in seconds; None disables it."""
         if seconds != self.silent_after:
             self.silent_after = seconds
             self._connection.settimeout(seconds)
 
-    def greet(self, own: Hello) -> Hello:
-        """Exchange greetings and return the peer's.
+    def greet(self, local_hello: Hello) -> Hello:
+        """Send a Hello first and return the peer's.
 
-        :raises MalformedRecordError: when the peer speaks another protocol version.
+        :raises ConnectionLostError: if the connection ends, fails or times out.
+        :raises MalformedRecordError: if the peer has another protocol version.
         """
-        own.protocol = PROTOCOL_VERSION
-        self.send(own)
+        local_hello.protocol = PROTOCOL_VERSION
+        self.send(local_hello)
         peer = self.expect(Hello)
         _check_protocol(peer)
         return peer
 
-    def welcome(self, peer: Hello, own: Hello) -> None:
-        """Answer a greeting that has come already.
+    def welcome(self, peer: Hello, local_hello: Hello) -> None:
+        """Reply to a Hello that was already received.
 
-        :raises MalformedRecordError: when the peer speaks another protocol version.
+        :raises ConnectionLostError: if the connection is closed or fails.
+        :raises MalformedRecordError: if the peer has another protocol version.
         """
-        own.protocol = PROTOCOL_VERSION
-        self.send(own)
+        local_hello.protocol = PROTOCOL_VERSION
+        self.send(local_hello)
         _check_protocol(peer)
 
     def close(self) -> None:
-        """Close the connection; safe to call again."""
+        """Close the connection; may be called more than once."""
         if not self.closed:
             self.closed = True
             self._connection.close()
@@ -179,16 +184,17 @@
 
 def _check_protocol(peer: Hello) -> None:
     if peer.protocol != PROTOCOL_VERSION:
-        raise MalformedRecordError(f"protocol {peer.protocol}, not {PROTOCOL_VERSION}")
+        raise MalformedRecordError(
+            f"found protocol version {peer.protocol}, expected {PROTOCOL_VERSION}"
+        )
 
 
 class SilenceWatch:
-    """Closes a connection on which nothing has come for too long.
+    """Closes a connection that has received nothing for too long.
 
-    Looking now and then costs a busy connection far less than a timer for each
-    of its waits.
+    Periodic checks are cheaper on a busy connection than a timer for each receive.
 
-    :param seconds: silence after which the peer counts as lost.
+    :param seconds: seconds without a received byte after which the connection is closed.
     """
 
     def __init__(self, records: RecordConnection, seconds: float, now: float) -> None:
@@ -198,7 +204,7 @@
         self._changed_at = now
 
     def look(self, now: float) -> None:
-        """Close the connection if it has been silent for too long."""
+        """Close the connection if its time-out has expired."""
         if self._records.bytes_received != self._bytes:
             self._bytes = self._records.bytes_received
             self._changed_at = now
--- a/src/cranklane/records/generate.py
+++ b/src/cranklane/records/generate.py
@@ -1,7 +1,7 @@
 """Generates ``messages.py`` from the record schema.
 
 Run ``python -m cranklane.records.generate`` after changing the schema;
-``--check`` fails when the committed file is not current.
+``--check`` fails if the committed file is out of date.
 """
 
 from __future__ import annotations
@@ -75,14 +75,14 @@
     return f"pack_{kind}(self.{name})"
 
 
-def _decode(kind: str, part: str) -> str:
+def _decode(kind: str, expression: str) -> str:
     if kind in _TEXTS:
-        return f"{part}.decode()"
+        return f"{expression}.decode()"
     if kind == "bytes":
-        return part
+        return expression
     if kind.startswith("["):
-        return f"unpack_records({kind[1:-1]}.unpack, {part})"
-    return f"unpack_{kind}({part})"
+        return f"unpack_records({kind[1:-1]}.unpack, {expression})"
+    return f"unpack_{kind}({expression})"
 
 
 def _init_lines(fields: list[tuple[str, str]]) -> list[str]:
@@ -100,7 +100,7 @@
 
 
 def _class_text(record: Record) -> str:
-    fields = [tuple(part.split(":")) for part in record.fields.split()]
+    fields = [tuple(field.split(":")) for field in record.fields.split()]
     numbers = [(name, kind) for name, kind in fields if kind in _NUMBERS]
     variable = [(name, kind) for name, kind in fields if kind not in _NUMBERS]
     layout = "!" + "".join(_NUMBERS[kind] for _, kind in numbers)
@@ -145,7 +145,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Write the file, or compare it for ``--check``; return the exit status."""
+    """Write ``messages.py``, or verify it for ``--check``; return the exit status."""
     target = Path(__file__).with_name("messages.py")
     text = generate()
     if "--check" not in arguments:
@@ -153,7 +153,7 @@
         return 0
     if target.exists() and target.read_text() == text:
         return 0
-    print("messages.py is not current: run python -m cranklane.records.generate")
+    print("messages.py is out of date: run python -m cranklane.records.generate")
     return 1
 
 
--- a/src/cranklane/records/messages.py
+++ b/src/cranklane/records/messages.py
@@ -22,7 +22,7 @@
 """Any record."""
 
 class Hello(Record):
-    """First record each way on a connection: who is there."""
+    """First record in each direction on a connection; identifies the sender."""
 
     KIND: ClassVar[int] = 1
     LAYOUT: ClassVar[Struct] = Struct("!HQQHHHH")
@@ -82,7 +82,7 @@
 
 
 class Ping(Record):
-    """Keeps an idle connection known to be alive and asks for a LoadReport."""
+    """Liveness probe on an idle connection; requests a LoadReport."""
 
     KIND: ClassVar[int] = 2
     LAYOUT: ClassVar[Struct] = Struct("!Q")
@@ -114,7 +114,7 @@
 
 
 class LoadReport(Record):
-    """A node's own view of its worker; ``wait_us`` is the expected queue wait."""
+    """Load of a node's worker; ``wait_us`` is the expected queue wait in microseconds."""
 
     KIND: ClassVar[int] = 3
     LAYOUT: ClassVar[Struct] = Struct("!IIII?Q")
@@ -156,7 +156,7 @@
 
 
 class GoingAway(Record):
-    """The sender takes no new calls on this connection."""
+    """The sender accepts no new calls on this connection."""
 
     KIND: ClassVar[int] = 4
     LAYOUT: ClassVar[Struct] = Struct("!B")
@@ -188,7 +188,7 @@
 
 
 class CallOpen(Record):
-    """Opens a call. ``deadline_ms`` is what is left of the root request's time; ``allowance`` is the share of retries this call may spend."""
+    """Opens a call. ``deadline_ms`` is the time until the root request's deadline; ``allowance`` is the number of retries that this call may spend."""
 
     KIND: ClassVar[int] = 10
     LAYOUT: ClassVar[Struct] = Struct("!IHBBBQIHHHHHHII")
@@ -280,7 +280,7 @@
 
 
 class CallCancel(Record):
-    """Nobody waits for this call any more."""
+    """Cancels a call whose caller no longer waits."""
 
     KIND: ClassVar[int] = 11
     LAYOUT: ClassVar[Struct] = Struct("!B")
@@ -312,7 +312,7 @@
 
 
 class AnswerHead(Record):
-    """First record of an answer. ``refused_below`` is one more than the highest criticality refused lately for the call's tenant, 0 for none."""
+    """First record of a response. ``refused_below`` is one more than the highest criticality recently refused for the call's tenant, 0 for none."""
 
     KIND: ClassVar[int] = 12
     LAYOUT: ClassVar[Struct] = Struct("!BBHIHIIIB??I")
@@ -370,7 +370,7 @@
 
 
 class AnswerBody(Record):
-    """One piece of an answer's body."""
+    """A piece of a response body."""
 
     KIND: ClassVar[int] = 13
     LAYOUT: ClassVar[Struct] = Struct("!II")
@@ -408,7 +408,7 @@
 
 
 class AnswerEnd(Record):
-    """The answer is whole: its body's length, CRC-32 and the unspent allowance."""
+    """Ends a complete response: size and CRC-32 of its body, and the unspent allowance."""
 
     KIND: ClassVar[int] = 14
     LAYOUT: ClassVar[Struct] = Struct("!QIH")
@@ -444,7 +444,7 @@
 
 
 class AnswerAbort(Record):
-    """The answer ends here, cut."""
+    """Ends a truncated response."""
 
     KIND: ClassVar[int] = 15
     LAYOUT: ClassVar[Struct] = Struct("!BH")
@@ -478,7 +478,7 @@
 
 
 class Credit(Record):
-    """The receiver can take this many more body bytes."""
+    """Flow control: permits ``size`` further bytes of the body."""
 
     KIND: ClassVar[int] = 16
     LAYOUT: ClassVar[Struct] = Struct("!I")
@@ -510,7 +510,7 @@
 
 
 class Subscribe(Record):
-    """A node asks a control process for configuration and members: those of its own service and of those it calls, or everything. ``session`` counts its connections; ``last_resort`` takes a control process that has lost touch with the others too."""
+    """Subscribes a node to the configuration and members of its service and of the services that it calls, or to ``everything``. ``session`` counts the node's connections; ``last_resort`` also accepts a control process that has lost contact with the others."""
 
     KIND: ClassVar[int] = 20
     LAYOUT: ClassVar[Struct] = Struct("!QQI??IBHHHHHH")
@@ -634,7 +634,7 @@
 
 
 class ConfigDelta(Record):
-    """Rows changed after ``base`` up to ``version``; ``whole`` replaces everything."""
+    """Rows that changed after ``base`` up to ``version``; ``whole``: they replace all rows."""
 
     KIND: ClassVar[int] = 22
     LAYOUT: ClassVar[Struct] = Struct("!QQ?I")
@@ -676,7 +676,7 @@
 
 
 class Member(Record):
-    """One node of a service. ``sequence`` orders the states of one incarnation; ``instance`` is the start of the worker beside it and ``slots`` how many calls that runs at once, where the worker has reported them. ``faults`` and ``slowness`` are the verdict of the worker's own sidecar: percent of failed runs, and tenths of the expected latency."""
+    """A node of a service. ``sequence`` orders the states of one incarnation. ``instance`` identifies the process start of the node's worker and ``slots`` is the worker's concurrency, if reported. ``faults`` is the percentage of failed runs and ``slowness`` the latency in tenths of the expected latency, both as seen by the local sidecar."""
 
     KIND: ClassVar[int] = 23
     LAYOUT: ClassVar[Struct] = Struct("!QIBIBBHHHHHH")
@@ -754,7 +754,7 @@
 
 
 class MemberDelta(Record):
-    """Members that changed, or all for a new subscriber."""
+    """Changed members, or all members for a new subscriber."""
 
     KIND: ClassVar[int] = 24
     LAYOUT: ClassVar[Struct] = Struct("!?I")
@@ -792,7 +792,7 @@
 
 
 class Heartbeat(Record):
-    """Renews a node's lease and reports the version in force there and its worker; ``faults`` and ``slowness`` as in Member. ``asked_us`` is the sender's monotonic clock, for a HeartbeatAnswer; 0 asks for none."""
+    """Renews a node's lease and reports its version in force and its worker; ``faults`` and ``slowness`` as in Member. ``asked_us`` is the sender's monotonic clock, repeated in the HeartbeatAnswer; 0 requests no answer."""
 
     KIND: ClassVar[int] = 25
     LAYOUT: ClassVar[Struct] = Struct("!QQBIBBQHH")
@@ -848,7 +848,7 @@
 
 
 class ControlReplicas(Record):
-    """Addresses at which nodes may subscribe to control, as its group states them now."""
+    """Current addresses at which nodes can subscribe to the control group."""
 
     KIND: ClassVar[int] = 26
     LAYOUT: ClassVar[Struct] = Struct("!I")
@@ -884,7 +884,7 @@
 
 
 class IncarnationKnown(Record):
-    """A node of this name was known with a newer incarnation: its clock was ahead, or that of the node that subscribes now is behind."""
+    """Informs a subscriber of a newer incarnation of its node name: the clock was ahead at an earlier start, or is behind now."""
 
     KIND: ClassVar[int] = 27
     LAYOUT: ClassVar[Struct] = Struct("!Q")
@@ -916,7 +916,7 @@
 
 
 class HeartbeatAnswer(Record):
-    """Answer to a heartbeat that asked for one. ``confirmed``: ``revision`` was the newest of the whole group ``age_us`` before the answer was made, by a leader that a quorum supported at that moment."""
+    """Response to a Heartbeat with ``asked_us``. ``confirmed``: ``age_us`` before this response, ``revision`` was the group's newest, according to a leader that had a quorum at that moment."""
 
     KIND: ClassVar[int] = 28
     LAYOUT: ClassVar[Struct] = Struct("!Q?QQ")
@@ -954,7 +954,7 @@
 
 
 class TenantUsage(Record):
-    """Requests of one tenant: ``offered`` came, ``admitted`` of them were admitted, ``returned`` of those were then not run."""
+    """Request counts of a tenant: ``offered`` received, ``admitted`` of these admitted, ``returned`` of the admitted ones not run."""
 
     KIND: ClassVar[int] = 29
     LAYOUT: ClassVar[Struct] = Struct("!IIIH")
@@ -996,7 +996,7 @@
 
 
 class UsageReport(Record):
-    """A sidecar reports to control the requests since its last report."""
+    """Requests at a sidecar since its last report to control."""
 
     KIND: ClassVar[int] = 38
     LAYOUT: ClassVar[Struct] = Struct("!I")
@@ -1032,7 +1032,7 @@
 
 
 class UsageTotals(Record):
-    """One control process passes on to another what its subscribers have reported: counts since ``began_us``, its own start by its monotonic clock, of the tenants whose counts have changed. ``nodes`` is the number of subscribers that report to it now."""
+    """Usage reported to one control process by its subscribers, sent to another one: counts since ``began_us``, the start of the sender by its monotonic clock, of the tenants with changed counts. ``nodes`` is the sender's current number of reporting subscribers."""
 
     KIND: ClassVar[int] = 39
     LAYOUT: ClassVar[Struct] = Struct("!QIHI")
@@ -1078,7 +1078,7 @@
 
 
 class TenantShare(Record):
-    """Fraction of a tenant's requests that a sidecar admits, in thousandths."""
+    """Fraction of a tenant's requests that a sidecar admits, in permille."""
 
     KIND: ClassVar[int] = 43
     LAYOUT: ClassVar[Struct] = Struct("!HH")
@@ -1116,7 +1116,7 @@
 
 
 class TenantShares(Record):
-    """The fractions that have changed since the last such record of this connection; ``whole``: all others are 1000."""
+    """Fractions that changed since the last TenantShares on this connection; ``whole``: all others are 1000."""
 
     KIND: ClassVar[int] = 44
     LAYOUT: ClassVar[Struct] = Struct("!?I")
@@ -1154,7 +1154,7 @@
 
 
 class LedgerBegin(Record):
-    """Asks to create the started entry of a once-call. ``lease_ms`` is the longest time from this request until the first byte goes to the worker, ``run_ms`` the longest that the call may then run."""
+    """Requests a ledger entry for the start of a ``once`` call. ``lease_ms`` is the maximum time from this request to the first byte sent to the worker, ``run_ms`` the maximum run time after that."""
 
     KIND: ClassVar[int] = 30
     LAYOUT: ClassVar[Struct] = Struct("!QIIIHHH")
@@ -1214,7 +1214,7 @@
 
 
 class LedgerGrant(Record):
-    """Answer to LedgerBegin. ``decision`` is a LedgerDecision; a stored answer follows it."""
+    """Response to LedgerBegin. ``decision`` is a LedgerDecision; the other fields hold a stored response."""
 
     KIND: ClassVar[int] = 31
     LAYOUT: ClassVar[Struct] = Struct("!BHII")
@@ -1260,7 +1260,7 @@
 
 
 class LedgerFinish(Record):
-    """Stores how a started entry ended. ``outcome`` is an Outcome."""
+    """Stores the result of a started entry. ``outcome`` is an Outcome."""
 
     KIND: ClassVar[int] = 32
     LAYOUT: ClassVar[Struct] = Struct("!QBHHHHII")
@@ -1326,7 +1326,7 @@
 
 
 class LedgerDone(Record):
-    """Answer to LedgerFinish."""
+    """Response to LedgerFinish."""
 
     KIND: ClassVar[int] = 33
     LAYOUT: ClassVar[Struct] = Struct("!?")
@@ -1358,7 +1358,7 @@
 
 
 class LedgerUnavailable(Record):
-    """This process cannot answer. ``not_run`` is whether the request certainly changed nothing; ``leader`` is who may answer, or empty."""
+    """Response of a process that cannot handle a ledger request. ``not_run``: the request certainly changed nothing; ``leader`` names the process to ask instead, if known."""
 
     KIND: ClassVar[int] = 34
     LAYOUT: ClassVar[Struct] = Struct("!?H")
@@ -1396,7 +1396,7 @@
 
 
 class LedgerEntry(Record):
-    """One entry of the ledger. ``started``, ``running_until`` and ``expires`` are seconds since 1970; ``outcome`` counts once it is finished."""
+    """An entry of the ledger. ``started``, ``running_until`` and ``expires`` are seconds since 1970; ``outcome`` is valid only if ``finished``."""
 
     KIND: ClassVar[int] = 35
     LAYOUT: ClassVar[Struct] = Struct("!QB?dddHIHHHII")
@@ -1476,7 +1476,7 @@
 
 
 class LedgerBatch(Record):
-    """One command of the ledger's log: many requests, applied in order. ``when`` is the leader's clock, seconds since 1970."""
+    """Command of the ledger's log: a batch of requests, applied in order. ``when`` is the leader's wall clock in seconds since 1970."""
 
     KIND: ClassVar[int] = 36
     LAYOUT: ClassVar[Struct] = Struct("!dII")
@@ -1520,7 +1520,7 @@
 
 
 class LedgerState(Record):
-    """The whole state of a ledger group; ``entries`` are packed LedgerEntry records, each after its name and length."""
+    """Complete state of a ledger group. ``entries`` holds packed LedgerEntry records, each preceded by its name and size."""
 
     KIND: ClassVar[int] = 37
     LAYOUT: ClassVar[Struct] = Struct("!dI")
@@ -1558,7 +1558,7 @@
 
 
 class TenantRow(Record):
-    """Compiled tenant: its share and its hashed tokens."""
+    """Compiled tenant with its share and the hashes of its tokens."""
 
     KIND: ClassVar[int] = 40
     LAYOUT: ClassVar[Struct] = Struct("!IHI")
@@ -1602,7 +1602,7 @@
 
 
 class RouteRow(Record):
-    """Compiled route, flat: no inheritance is left to work out. ``caps`` is whether ``criticality`` was stated, and so bounds calls made for a more critical request."""
+    """Compiled route with all inherited values resolved. ``caps``: the policy sets ``criticality``, which therefore also limits calls made for a more critical request."""
 
     KIND: ClassVar[int] = 41
     LAYOUT: ClassVar[Struct] = Struct("!B?BIHHHH")
@@ -1660,7 +1660,7 @@
 
 
 class ServiceRow(Record):
-    """Compiled service. ``slots`` is the worker's stated concurrency; ``depth_below`` is 0 for a service that calls nobody; ``ledgers`` are the groups its once-calls are spread over."""
+    """Compiled service. ``slots`` is the configured concurrency of a worker; ``depth_below`` is 0 for a service without downstream calls; ``ledgers`` are the ledger groups of its ``once`` calls."""
 
     KIND: ClassVar[int] = 42
     LAYOUT: ClassVar[Struct] = Struct("!IIBHHHIIII")
@@ -1734,7 +1734,7 @@
 
 
 class LogEntry(Record):
-    """One entry of a replicated log."""
+    """An entry of a replicated log."""
 
     KIND: ClassVar[int] = 50
     LAYOUT: ClassVar[Struct] = Struct("!QQBI")
@@ -1776,7 +1776,7 @@
 
 
 class ReplicaMember(Record):
-    """One replica of a group. ``identity`` belongs to its data folder: an emptied folder is another replica. ``promote``: a learner that is to vote once it has caught up."""
+    """A replica of a group. ``identity`` belongs to its data folder: with an emptied folder, it becomes a new replica. ``promote``: a learner that becomes a voter after catching up."""
 
     KIND: ClassVar[int] = 51
     LAYOUT: ClassVar[Struct] = Struct("!Q??HHH")
@@ -1866,7 +1866,7 @@
 
 
 class LogSnapshot(Record):
-    """State after the entry ``index``; replaces all entries up to it."""
+    """Snapshot of the state after the entry ``index``; replaces all entries up to it."""
 
     KIND: ClassVar[int] = 53
     LAYOUT: ClassVar[Struct] = Struct("!QQII")
@@ -1912,7 +1912,7 @@
 
 
 class VoteState(Record):
-    """What a replica must never forget, beside its log."""
+    """Durable state of a replica besides its log: term, identity and vote."""
 
     KIND: ClassVar[int] = 54
     LAYOUT: ClassVar[Struct] = Struct("!QQQ")
@@ -1948,7 +1948,7 @@
 
 
 class ReplicaHello(Record):
-    """First record each way between replicas: whose group, and who is there."""
+    """First record in each direction between replicas; identifies the group and the sender."""
 
     KIND: ClassVar[int] = 55
     LAYOUT: ClassVar[Struct] = Struct("!QHH")
@@ -1992,7 +1992,7 @@
 
 
 class VoteRequest(Record):
-    """Asks for a vote; ``trial`` only asks whether it would be given. ``lost`` is a former leader that has lost its disk, 0 for none: another replica answers at its address."""
+    """Requests a vote; ``trial``: a pre-vote. ``lost`` is a former leader whose disk was lost, 0 for none: another replica now uses its address."""
 
     KIND: ClassVar[int] = 56
     LAYOUT: ClassVar[Struct] = Struct("!QQQQ?Q")
@@ -2034,7 +2034,7 @@
 
 
 class VoteReply(Record):
-    """Answer to VoteRequest."""
+    """Response to VoteRequest."""
 
     KIND: ClassVar[int] = 57
     LAYOUT: ClassVar[Struct] = Struct("!Q?")
@@ -2068,7 +2068,7 @@
 
 
 class AppendRequest(Record):
-    """The leader's entries after ``previous_index``, and what is committed. ``leased``: a quorum has answered it lately, so that it leads for certain."""
+    """Log entries after ``previous_index`` and the commit index of the leader. ``leased``: a quorum has recently confirmed the leader."""
 
     KIND: ClassVar[int] = 58
     LAYOUT: ClassVar[Struct] = Struct("!QQQQQ?I")
@@ -2116,7 +2116,7 @@
 
 
 class AppendReply(Record):
-    """Answer to AppendRequest. ``match`` is durable; on failure ``last`` is the newest entry held."""
+    """Response to AppendRequest. ``match`` is the last durable entry that matches the leader's log; after a failure, ``last`` is the newest entry of the replica's log."""
 
     KIND: ClassVar[int] = 59
     LAYOUT: ClassVar[Struct] = Struct("!Q?QQ")
@@ -2154,7 +2154,7 @@
 
 
 class SnapshotChunk(Record):
-    """A piece of the leader's snapshot for a replica that lags behind its log."""
+    """Piece of a snapshot, sent to a replica that needs entries no longer in the log."""
 
     KIND: ClassVar[int] = 70
     LAYOUT: ClassVar[Struct] = Struct("!QQQQQI")
@@ -2200,7 +2200,7 @@
 
 
 class ConfirmRequest(Record):
-    """Asks the leader whether it leads for certain now."""
+    """Asks a leader to confirm its leadership."""
 
     KIND: ClassVar[int] = 76
     LAYOUT: ClassVar[Struct] = Struct("!Q")
@@ -2232,7 +2232,7 @@
 
 
 class ConfirmReply(Record):
-    """Answer to ConfirmRequest: if ``leads``, all that was acknowledged before the request came lies at or before the entry ``commit``."""
+    """Response to ConfirmRequest. If ``leads``, the log up to the entry ``commit`` contains everything that was acknowledged before the request."""
 
     KIND: ClassVar[int] = 77
     LAYOUT: ClassVar[Struct] = Struct("!Q?Q")
@@ -2268,7 +2268,7 @@
 
 
 class SnapshotReply(Record):
-    """Answer to SnapshotChunk."""
+    """Response to SnapshotChunk."""
 
     KIND: ClassVar[int] = 71
     LAYOUT: ClassVar[Struct] = Struct("!QQ")
@@ -2302,7 +2302,7 @@
 
 
 class MemberReport(Record):
-    """One control process reports to another the nodes subscribed to it: changed members, and (node, version in force) of those that changed."""
+    """Changes of the nodes subscribed to one control process, sent to another: changed members and the versions in force that changed."""
 
     KIND: ClassVar[int] = 72
     LAYOUT: ClassVar[Struct] = Struct("!?HII")
@@ -2352,7 +2352,7 @@
 
 
 class JoinRequest(Record):
-    """A replica with an empty data folder asks to become part of its group."""
+    """Request of a replica with an empty data folder to join its group."""
 
     KIND: ClassVar[int] = 74
     LAYOUT: ClassVar[Struct] = Struct("!Q?HHH")
@@ -2404,7 +2404,7 @@
 
 
 class JoinReply(Record):
-    """Answer to JoinRequest. ``status`` is a JoinStatus; ``leader`` is whom to ask."""
+    """Response to JoinRequest. ``status`` is a JoinStatus; ``leader`` is the replica to ask."""
 
     KIND: ClassVar[int] = 75
     LAYOUT: ClassVar[Struct] = Struct("!BH")
@@ -2442,7 +2442,7 @@
 
 
 class NodeVersion(Record):
-    """A node and the version in force there."""
+    """A node and its version in force."""
 
     KIND: ClassVar[int] = 73
     LAYOUT: ClassVar[Struct] = Struct("!QH")
@@ -2480,7 +2480,7 @@
 
 
 class EditCommand(Record):
-    """A checked edit of one document. ``base`` is the document's version it started from; ``compiled_at`` is the store's revision that ``rows`` were compiled at."""
+    """A validated edit of a document. ``base`` is the version of the document that was edited; ``compiled_at`` is the revision of the store at which ``rows`` were compiled."""
 
     KIND: ClassVar[int] = 60
     LAYOUT: ClassVar[Struct] = Struct("!QQdHHHII")
@@ -2546,7 +2546,7 @@
 
 
 class Document(Record):
-    """One document of the settings tree."""
+    """A document of the settings tree."""
 
     KIND: ClassVar[int] = 61
     LAYOUT: ClassVar[Struct] = Struct("!QHI")
@@ -2590,7 +2590,7 @@
 
 
 class HistoryEntry(Record):
-    """One accepted edit."""
+    """An accepted edit of a document."""
 
     KIND: ClassVar[int] = 62
     LAYOUT: ClassVar[Struct] = Struct("!QQdHHHI")
@@ -2650,7 +2650,7 @@
 
 
 class RequestAnswer(Record):
-    """What an operator's request was first answered."""
+    """Result of an operator's request, returned again if the request is repeated."""
 
     KIND: ClassVar[int] = 63
     LAYOUT: ClassVar[Struct] = Struct("!QBHH")
@@ -2696,7 +2696,7 @@
 
 
 class StoreState(Record):
-    """The whole state of the configuration store. Subscribers below ``whole_below`` need everything: what they have may come from a history that a back-up has replaced."""
+    """Complete state of the configuration store. Subscribers with a version below ``whole_below`` need all rows: a restored backup may have replaced their history."""
 
     KIND: ClassVar[int] = 64
     LAYOUT: ClassVar[Struct] = Struct("!QQIIII")
@@ -2754,7 +2754,7 @@
 
 
 class RouteTableCommand(Record):
-    """A checked whole route table that an operator puts in force. ``version`` is the operator's, ``base`` the one it replaces, ``digest`` identifies equal requests; the ``document`` is compressed."""
+    """Puts a validated, complete route table in force. ``version`` is set by the operator, ``base`` is the version that it replaces, ``digest`` identifies repeated requests; ``document`` is compressed."""
 
     KIND: ClassVar[int] = 65
     LAYOUT: ClassVar[Struct] = Struct("!QQII")
@@ -2800,7 +2800,7 @@
 
 
 class TakenTable(Record):
-    """The digest of a route table that was taken."""
+    """Version and digest of an accepted route table."""
 
     KIND: ClassVar[int] = 66
     LAYOUT: ClassVar[Struct] = Struct("!QI")
@@ -2838,7 +2838,7 @@
 
 
 class RouteTableState(Record):
-    """The whole state of a route table store; the document is compressed."""
+    """Complete state of a route table store; ``document`` is compressed."""
 
     KIND: ClassVar[int] = 67
     LAYOUT: ClassVar[Struct] = Struct("!QQII")
@@ -2884,7 +2884,7 @@
 
 
 class ForwardRequest(Record):
-    """One sidecar asks another to have its worker run a request. Times in milliseconds are durations from now on, by the sender's clock: ``deadline_ms`` until the caller gives up, ``start_within_ms`` until the request is not worth starting any more. ``expected_latency_us`` is the usual run time of this route over all workers, in microseconds, as the sender knows it; 0: unknown. ``root_priority``, ``root_age_ms``, ``root_objective_ms`` and ``root_deadline_ms`` describe the root request of the call tree: the last two are the time left of its objective and of its deadline. ``is_retry``: this run, or one above it in the tree, is a second one. ``suspected``: the worker that ran it before crashed, and the request may be the cause. ``isolated``: every sender sends this suspect here, to run in isolation. ``tenant`` owns the request; empty where requests need no key. ``lines`` holds the request line and the headers, ``body`` what of the body has been read, and ``whole`` says that this is all of it."""
+    """Forwards a request to another sidecar, whose worker is to run it. Times in milliseconds count from the time of sending: ``deadline_ms`` until the caller gives up, ``start_within_ms`` until the latest useful start. ``expected_latency_us`` is the sender's estimate of the route's run time over all workers; 0: unknown. ``root_priority``, ``root_age_ms``, ``root_objective_ms`` and ``root_deadline_ms`` describe the root request of the call tree; the last two are the time left until its objective and its deadline. ``is_retry``: this run, or one above it in the tree, is a retry. ``suspected``: the worker that ran the request before crashed, possibly because of it. ``isolated``: all senders route this suspected request here, to run in isolation. ``tenant`` owns the request; empty if requests need no key. ``lines`` holds the request line and the headers, ``body`` the part of the body read so far; ``whole``: that is all of it."""
 
     KIND: ClassVar[int] = 80
     LAYOUT: ClassVar[Struct] = Struct("!IIIBBIII???B???QHHHHHII")
@@ -2988,7 +2988,7 @@
 
 
 class ForwardBody(Record):
-    """The next piece of a body; none after the last."""
+    """A piece of a body; ``last``: the record after the final piece, without data."""
 
     KIND: ClassVar[int] = 81
     LAYOUT: ClassVar[Struct] = Struct("!?I")
@@ -3026,7 +3026,7 @@
 
 
 class ForwardContinue(Record):
-    """The request is admitted: send the rest of its body."""
+    """Admits a request and asks for the rest of its body."""
 
     KIND: ClassVar[int] = 82
     LAYOUT: ClassVar[Struct] = Struct("!B")
@@ -3058,7 +3058,7 @@
 
 
 class ForwardAnswer(Record):
-    """First record of the answer. ``arrived``: the request reached the worker. ``running``, ``queued`` and ``slots`` are the sidecar's own counts. ``waited_ms`` and ``run_time_ms`` are the times before and at the worker. ``faults`` is the ratio of the worker's runs that failed by its own fault, in percent; ``slowness`` its run times as a multiple of the expected latency, in tenths. ``downstream_starved``: a call made by the run, or below it, found no capacity. ``failed_service`` and ``failed_reason`` describe the deepest call that failed, ``downstream_cost`` the slot time of the run's calls. ``body`` is the first piece, and all of it if ``whole``."""
+    """First record of the response to a ForwardRequest. ``arrived``: the request reached the worker. ``running``, ``queued`` and ``slots`` are the counts of the responding sidecar. ``waited_ms`` is the time before the run, ``run_time_ms`` the time at the worker. ``faults`` is the percentage of runs that failed by the worker's fault; ``slowness`` is the run time in tenths of the expected latency. ``downstream_starved``: a call made by the run, or further downstream, found no capacity. ``failed_service`` and ``failed_reason`` describe the deepest failed call, ``downstream_cost`` the slot time of downstream calls. ``body`` is the first piece of the body; ``whole``: all of it."""
 
     KIND: ClassVar[int] = 83
     LAYOUT: ClassVar[Struct] = Struct("!BB??BHIIIIBBII?BQHIII")
@@ -3146,7 +3146,7 @@
 
 
 class ServiceWork(Record):
-    """Time that slots of a service were occupied for the sake of one request."""
+    """Slot time of a service used by one request."""
 
     KIND: ClassVar[int] = 85
     LAYOUT: ClassVar[Struct] = Struct("!IH")
@@ -3184,7 +3184,7 @@
 
 
 class QuarantineEntry(Record):
-    """A request that is suspected of ending the workers that run it. ``held_ms`` is how much longer it is refused, 0 for one that is only suspected; ``ends`` names the crashes of workers that are evidence against it, 8 bytes each; ``cleared``: a worker has answered it, or an operator has lifted it."""
+    """A request suspected of crashing workers. ``held_ms`` is the remaining quarantine, 0 for a request that is only suspected; ``ends`` identifies the worker crashes attributed to it, 8 bytes each; ``cleared``: a worker has completed it, or an operator has lifted its quarantine."""
 
     KIND: ClassVar[int] = 90
     LAYOUT: ClassVar[Struct] = Struct("!I?HII")
@@ -3236,7 +3236,7 @@
 
 
 class QuarantineNews(Record):
-    """What a sidecar knows of such requests. ``digest`` is that of all it quarantines; ``asks`` wants the receiver's own entries where its digest differs; ``settled``: the sender has learnt from others itself, since its start. The receiver passes it on to the nodes whose names come after its own, up to ``relay_to``; those of ``service``, or all where it is empty."""
+    """Quarantine entries sent between sidecars. ``digest`` is that of all requests quarantined by the sender; ``asks`` requests the receiver's entries if its digest differs; ``settled``: the sender has synchronized with others since its start. The receiver relays the record to the nodes of ``service`` (all if empty) whose names sort after its node name, up to ``relay_to``."""
 
     KIND: ClassVar[int] = 91
     LAYOUT: ClassVar[Struct] = Struct("!Q??HHI")
@@ -3290,7 +3290,7 @@
 
 
 class ForwardCut(Record):
-    """The answer ends here, before its last byte."""
+    """Ends a truncated response."""
 
     KIND: ClassVar[int] = 84
     LAYOUT: ClassVar[Struct] = Struct("!B")
--- a/src/cranklane/records/record.py
+++ b/src/cranklane/records/record.py
@@ -1,7 +1,7 @@
-"""What every record can do.
+"""Base class of the generated records.
 
-Records are plain classes with slots, generated as such: data classes would be built
-anew, one after the other, at each start of a process.
+Records are generated as plain classes with slots because creating data classes would slow
+the start of each process.
 """
 
 from __future__ import annotations
@@ -11,18 +11,21 @@
 
 
 class Record:
-    """Base of every record; records of one class with equal fields are equal."""
+    """Base class of records; records of one class are equal if their fields are."""
 
     __slots__: tuple[str, ...] = ()
     KIND: ClassVar[int]
     LAYOUT: ClassVar[Struct]
 
     def pack(self) -> bytes:
-        """Return the record's bytes."""
+        """Return the encoded record.
+
+        :raises MalformedRecordError: if a number is out of its field's range.
+        """
         raise NotImplementedError
 
     def replaced(self, **changes: Any) -> Self:
-        """Return a record with some fields changed.
+        """Return a copy with some fields changed.
 
         >>> from cranklane.records.messages import Ping
         >>> Ping(3).replaced(version=4)
--- a/src/cranklane/records/schema.py
+++ b/src/cranklane/records/schema.py
@@ -1,12 +1,12 @@
-"""Schema of every record sent between processes.
+"""Schema of the records sent between processes or stored.
 
-:mod:`cranklane.records.generate` turns this into ``messages.py``. A record is
-one ``struct`` of its numbers and of the lengths of its variable fields,
-followed by the variable fields' bytes in order.
+:mod:`cranklane.records.generate` generates ``messages.py`` from it. An encoded record is
+a ``struct`` of its numbers and of the sizes of its variable fields, followed by the bytes
+of the variable fields in order.
 
-Field types: ``u8 u16 u32 u64 f64 bool`` are numbers, ``str`` (up to 64 KiB),
-``text`` and ``bytes`` are variable, ``strings`` is a list of text, ``pairs`` is
-a list of (text, text), and ``[Name]`` is a list of another record.
+Field types: ``u8 u16 u32 u64 f64 bool`` are numbers, ``str`` (up to 64 KiB), ``text`` and
+``bytes`` are variable, ``strings`` is a list of strings, ``pairs`` is a list of pairs of
+strings, and ``[Name]`` is a list of another record.
 """
 
 from __future__ import annotations
@@ -16,7 +16,12 @@
 
 @dataclass(frozen=True)
 class Record:
-    """One record: its number on the wire, its name, its purpose and its fields."""
+    """Definition of a record.
+
+    :ivar kind: number on the wire.
+    :ivar purpose: doc text of the generated class.
+    :ivar fields: ``name:type`` of each field, separated by spaces.
+    """
 
     kind: int
     name: str
@@ -28,55 +33,55 @@
     Record(
         1,
         "Hello",
-        "First record each way on a connection: who is there.",
+        "First record in each direction on a connection; identifies the sender.",
         "protocol:u16 incarnation:u64 version:u64 node:str tenant:str service:str zone:str",
     ),
     Record(
         2,
         "Ping",
-        "Keeps an idle connection known to be alive and asks for a LoadReport.",
+        "Liveness probe on an idle connection; requests a LoadReport.",
         "version:u64",
     ),
     Record(
         3,
         "LoadReport",
-        "A node's own view of its worker; ``wait_us`` is the expected queue wait.",
+        "Load of a node's worker; ``wait_us`` is the expected queue wait in microseconds.",
         "in_flight:u32 queued:u32 limit:u32 wait_us:u32 draining:bool version:u64",
     ),
-    Record(4, "GoingAway", "The sender takes no new calls on this connection.", "reason:u8"),
+    Record(4, "GoingAway", "The sender accepts no new calls on this connection.", "reason:u8"),
     Record(
         10,
         "CallOpen",
-        "Opens a call. ``deadline_ms`` is what is left of the root request's time; "
-        "``allowance`` is the share of retries this call may spend.",
+        "Opens a call. ``deadline_ms`` is the time until the root request's deadline; "
+        "``allowance`` is the number of retries that this call may spend.",
         "deadline_ms:u32 allowance:u16 criticality:u8 depth:u8 attempt:u8 root:u64 window:u32 "
         "tenant:str caller:str service:str method:str path:str key:str "
         "headers:pairs body:bytes",
     ),
-    Record(11, "CallCancel", "Nobody waits for this call any more.", "reason:u8"),
+    Record(11, "CallCancel", "Cancels a call whose caller no longer waits.", "reason:u8"),
     Record(
         12,
         "AnswerHead",
-        "First record of an answer. ``refused_below`` is one more than the highest "
-        "criticality refused lately for the call's tenant, 0 for none.",
+        "First record of a response. ``refused_below`` is one more than the highest "
+        "criticality recently refused for the call's tenant, 0 for none.",
         "outcome:u8 reason:u8 status:u16 retry_after_ms:u32 allowance:u16 in_flight:u32 "
         "limit:u32 wait_us:u32 refused_below:u8 draining:bool final:bool headers:pairs",
     ),
-    Record(13, "AnswerBody", "One piece of an answer's body.", "sequence:u32 data:bytes"),
+    Record(13, "AnswerBody", "A piece of a response body.", "sequence:u32 data:bytes"),
     Record(
         14,
         "AnswerEnd",
-        "The answer is whole: its body's length, CRC-32 and the unspent allowance.",
+        "Ends a complete response: size and CRC-32 of its body, and the unspent allowance.",
         "length:u64 checksum:u32 allowance:u16",
     ),
-    Record(15, "AnswerAbort", "The answer ends here, cut.", "reason:u8 allowance:u16"),
-    Record(16, "Credit", "The receiver can take this many more body bytes.", "size:u32"),
+    Record(15, "AnswerAbort", "Ends a truncated response.", "reason:u8 allowance:u16"),
+    Record(16, "Credit", "Flow control: permits ``size`` further bytes of the body.", "size:u32"),
     Record(
         20,
         "Subscribe",
-        "A node asks a control process for configuration and members: those of its own "
-        "service and of those it calls, or everything. ``session`` counts its connections; "
-        "``last_resort`` takes a control process that has lost touch with the others too.",
+        "Subscribes a node to the configuration and members of its service and of the services "
+        "that it calls, or to ``everything``. ``session`` counts the node's connections; "
+        "``last_resort`` also accepts a control process that has lost contact with the others.",
         "incarnation:u64 version:u64 session:u32 everything:bool last_resort:bool node:str "
         "tenant:str service:str zone:str address:str instance:str slots:u32 state:u8",
     ),
@@ -89,320 +94,318 @@
     Record(
         22,
         "ConfigDelta",
-        "Rows changed after ``base`` up to ``version``; ``whole`` replaces everything.",
+        "Rows that changed after ``base`` up to ``version``; ``whole``: they replace all rows.",
         "base:u64 version:u64 whole:bool rows:[ConfigRow]",
     ),
     Record(
         23,
         "Member",
-        "One node of a service. ``sequence`` orders the states of one incarnation; "
-        "``instance`` is the start of the worker beside it and ``slots`` how many calls that "
-        "runs at once, where the worker has reported them. ``faults`` and ``slowness`` are the "
-        "verdict of the worker's own sidecar: percent of failed runs, and tenths of the expected "
-        "latency.",
+        "A node of a service. ``sequence`` orders the states of one incarnation. ``instance`` "
+        "identifies the process start of the node's worker and ``slots`` is the worker's "
+        "concurrency, if reported. ``faults`` is the percentage of failed runs and ``slowness`` "
+        "the latency in tenths of the expected latency, both as seen by the local sidecar.",
         "incarnation:u64 sequence:u32 state:u8 node:str tenant:str service:str zone:str "
         "address:str slots:u32 instance:str faults:u8 slowness:u8",
     ),
     Record(
         24,
         "MemberDelta",
-        "Members that changed, or all for a new subscriber.",
+        "Changed members, or all members for a new subscriber.",
         "whole:bool members:[Member]",
     ),
     Record(
         25,
         "Heartbeat",
-        "Renews a node's lease and reports the version in force there and its worker; "
-        "``faults`` and ``slowness`` as in Member. ``asked_us`` is the sender's monotonic clock, "
-        "for a HeartbeatAnswer; 0 asks for none.",
+        "Renews a node's lease and reports its version in force and its worker; ``faults`` and "
+        "``slowness`` as in Member. ``asked_us`` is the sender's monotonic clock, repeated in "
+        "the HeartbeatAnswer; 0 requests no answer.",
         "incarnation:u64 version:u64 state:u8 slots:u32 service:str instance:str faults:u8 "
         "slowness:u8 asked_us:u64",
     ),
     Record(
         26,
         "ControlReplicas",
-        "Addresses at which nodes may subscribe to control, as its group states them now.",
+        "Current addresses at which nodes can subscribe to the control group.",
         "addresses:strings",
     ),
     Record(
         27,
         "IncarnationKnown",
-        "A node of this name was known with a newer incarnation: its clock was ahead, or "
-        "that of the node that subscribes now is behind.",
+        "Informs a subscriber of a newer incarnation of its node name: the clock was ahead at an "
+        "earlier start, or is behind now.",
         "incarnation:u64",
     ),
     Record(
         28,
         "HeartbeatAnswer",
-        "Answer to a heartbeat that asked for one. ``confirmed``: ``revision`` was the "
-        "newest of the whole group ``age_us`` before the answer was made, by a leader that a "
-        "quorum supported at that moment.",
+        "Response to a Heartbeat with ``asked_us``. ``confirmed``: ``age_us`` before this "
+        "response, ``revision`` was the group's newest, according to a leader that had a quorum "
+        "at that moment.",
         "asked_us:u64 confirmed:bool age_us:u64 revision:u64",
     ),
     Record(
         29,
         "TenantUsage",
-        "Requests of one tenant: ``offered`` came, ``admitted`` of them were admitted, "
-        "``returned`` of those were then not run.",
+        "Request counts of a tenant: ``offered`` received, ``admitted`` of these admitted, "
+        "``returned`` of the admitted ones not run.",
         "offered:u32 admitted:u32 returned:u32 tenant:str",
     ),
     Record(
         38,
         "UsageReport",
-        "A sidecar reports to control the requests since its last report.",
+        "Requests at a sidecar since its last report to control.",
         "usage:[TenantUsage]",
     ),
     Record(
         39,
         "UsageTotals",
-        "One control process passes on to another what its subscribers have reported: counts "
-        "since ``began_us``, its own start by its monotonic clock, of the tenants whose counts "
-        "have changed. ``nodes`` is the number of subscribers that report to it now.",
+        "Usage reported to one control process by its subscribers, sent to another one: counts "
+        "since ``began_us``, the start of the sender by its monotonic clock, of the tenants with "
+        "changed counts. ``nodes`` is the sender's current number of reporting subscribers.",
         "began_us:u64 nodes:u32 owner:str totals:[TenantUsage]",
     ),
     Record(
         43,
         "TenantShare",
-        "Fraction of a tenant's requests that a sidecar admits, in thousandths.",
+        "Fraction of a tenant's requests that a sidecar admits, in permille.",
         "permille:u16 tenant:str",
     ),
     Record(
         44,
         "TenantShares",
-        "The fractions that have changed since the last such record of this connection; "
-        "``whole``: all others are 1000.",
+        "Fractions that changed since the last TenantShares on this connection; ``whole``: all "
+        "others are 1000.",
         "whole:bool shares:[TenantShare]",
     ),
     Record(
         30,
         "LedgerBegin",
-        "Asks to create the started entry of a once-call. ``lease_ms`` is the longest time "
-        "from this request until the first byte goes to the worker, ``run_ms`` the longest "
-        "that the call may then run.",
+        "Requests a ledger entry for the start of a ``once`` call. ``lease_ms`` is the maximum "
+        "time from this request to the first byte sent to the worker, ``run_ms`` the maximum "
+        "run time after that.",
         "attempt:u64 lease_ms:u32 run_ms:u32 digest:bytes tenant:str service:str key:str",
     ),
     Record(
         31,
         "LedgerGrant",
-        "Answer to LedgerBegin. ``decision`` is a LedgerDecision; a stored answer follows it.",
+        "Response to LedgerBegin. ``decision`` is a LedgerDecision; the other fields hold a stored "
+        "response.",
         "decision:u8 status:u16 headers:pairs body:bytes",
     ),
     Record(
         32,
         "LedgerFinish",
-        "Stores how a started entry ended. ``outcome`` is an Outcome.",
+        "Stores the result of a started entry. ``outcome`` is an Outcome.",
         "attempt:u64 outcome:u8 status:u16 tenant:str service:str key:str headers:pairs body:bytes",
     ),
-    Record(33, "LedgerDone", "Answer to LedgerFinish.", "stored:bool"),
+    Record(33, "LedgerDone", "Response to LedgerFinish.", "stored:bool"),
     Record(
         34,
         "LedgerUnavailable",
-        "This process cannot answer. ``not_run`` is whether the request certainly changed "
-        "nothing; ``leader`` is who may answer, or empty.",
+        "Response of a process that cannot handle a ledger request. ``not_run``: the request "
+        "certainly changed nothing; ``leader`` names the process to ask instead, if known.",
         "not_run:bool leader:str",
     ),
     Record(
         35,
         "LedgerEntry",
-        "One entry of the ledger. ``started``, ``running_until`` and ``expires`` are seconds "
-        "since 1970; ``outcome`` counts once it is finished.",
+        "An entry of the ledger. ``started``, ``running_until`` and ``expires`` are seconds since "
+        "1970; ``outcome`` is valid only if ``finished``.",
         "attempt:u64 outcome:u8 finished:bool started:f64 running_until:f64 expires:f64 "
         "status:u16 digest:bytes tenant:str service:str key:str headers:pairs body:bytes",
     ),
     Record(
         36,
         "LedgerBatch",
-        "One command of the ledger's log: many requests, applied in order. ``when`` is the "
-        "leader's clock, seconds since 1970.",
+        "Command of the ledger's log: a batch of requests, applied in order. ``when`` is the "
+        "leader's wall clock in seconds since 1970.",
         "when:f64 begins:[LedgerBegin] finishes:[LedgerFinish]",
     ),
     Record(
         37,
         "LedgerState",
-        "The whole state of a ledger group; ``entries`` are packed LedgerEntry records, each "
-        "after its name and length.",
+        "Complete state of a ledger group. ``entries`` holds packed LedgerEntry records, each "
+        "preceded by its name and size.",
         "now:f64 entries:bytes",
     ),
     Record(
         40,
         "TenantRow",
-        "Compiled tenant: its share and its hashed tokens.",
+        "Compiled tenant with its share and the hashes of its tokens.",
         "share:u32 name:str tokens:strings",
     ),
     Record(
         41,
         "RouteRow",
-        "Compiled route, flat: no inheritance is left to work out. ``caps`` is whether "
-        "``criticality`` was stated, and so bounds calls made for a more critical request.",
+        "Compiled route with all inherited values resolved. ``caps``: the policy sets "
+        "``criticality``, which therefore also limits calls made for a more critical request.",
         "criticality:u8 caps:bool repeat:u8 deadline_ms:u32 allowance:u16 name:str method:str "
         "pattern:str",
     ),
     Record(
         42,
         "ServiceRow",
-        "Compiled service. ``slots`` is the worker's stated concurrency; ``depth_below`` "
-        "is 0 for a service that calls nobody; ``ledgers`` are the groups its once-calls "
-        "are spread over.",
+        "Compiled service. ``slots`` is the configured concurrency of a worker; ``depth_below`` "
+        "is 0 for a service without downstream calls; ``ledgers`` are the ledger groups of its "
+        "``once`` calls.",
         "slots:u32 queue:u32 depth_below:u8 retry_ratio_permille:u16 tenant:str name:str "
         "calls:strings callers:strings ledgers:strings routes:[RouteRow]",
     ),
     Record(
-        50, "LogEntry", "One entry of a replicated log.", "term:u64 index:u64 kind:u8 data:bytes"
+        50, "LogEntry", "An entry of a replicated log.", "term:u64 index:u64 kind:u8 data:bytes"
     ),
     Record(
         51,
         "ReplicaMember",
-        "One replica of a group. ``identity`` belongs to its data folder: an emptied folder "
-        "is another replica. ``promote``: a learner that is to vote once it has caught up.",
+        "A replica of a group. ``identity`` belongs to its data folder: with an emptied folder, it "
+        "becomes a new replica. ``promote``: a learner that becomes a voter after catching up.",
         "identity:u64 voter:bool promote:bool name:str address:str http:str",
     ),
     Record(52, "ReplicaSet", "The replicas of a group.", "members:[ReplicaMember]"),
     Record(
         53,
         "LogSnapshot",
-        "State after the entry ``index``; replaces all entries up to it.",
+        "Snapshot of the state after the entry ``index``; replaces all entries up to it.",
         "term:u64 index:u64 members:[ReplicaMember] state:bytes",
     ),
     Record(
         54,
         "VoteState",
-        "What a replica must never forget, beside its log.",
+        "Durable state of a replica besides its log: term, identity and vote.",
         "term:u64 identity:u64 voted_for:u64",
     ),
     Record(
         55,
         "ReplicaHello",
-        "First record each way between replicas: whose group, and who is there.",
+        "First record in each direction between replicas; identifies the group and the sender.",
         "identity:u64 group:str name:str",
     ),
     Record(
         56,
         "VoteRequest",
-        "Asks for a vote; ``trial`` only asks whether it would be given. ``lost`` is a former "
-        "leader that has lost its disk, 0 for none: another replica answers at its address.",
+        "Requests a vote; ``trial``: a pre-vote. ``lost`` is a former leader whose disk was lost, "
+        "0 for none: another replica now uses its address.",
         "term:u64 candidate:u64 last_index:u64 last_term:u64 trial:bool lost:u64",
     ),
-    Record(57, "VoteReply", "Answer to VoteRequest.", "term:u64 granted:bool"),
+    Record(57, "VoteReply", "Response to VoteRequest.", "term:u64 granted:bool"),
     Record(
         58,
         "AppendRequest",
-        "The leader's entries after ``previous_index``, and what is committed. ``leased``: a "
-        "quorum has answered it lately, so that it leads for certain.",
+        "Log entries after ``previous_index`` and the commit index of the leader. ``leased``: a "
+        "quorum has recently confirmed the leader.",
         "term:u64 leader:u64 previous_index:u64 previous_term:u64 commit:u64 entries:[LogEntry] "
         "leased:bool",
     ),
     Record(
         59,
         "AppendReply",
-        "Answer to AppendRequest. ``match`` is durable; on failure ``last`` is the newest "
-        "entry held.",
+        "Response to AppendRequest. ``match`` is the last durable entry that matches the leader's "
+        "log; after a failure, ``last`` is the newest entry of the replica's log.",
         "term:u64 success:bool match:u64 last:u64",
     ),
     Record(
         70,
         "SnapshotChunk",
-        "A piece of the leader's snapshot for a replica that lags behind its log.",
+        "Piece of a snapshot, sent to a replica that needs entries no longer in the log.",
         "term:u64 leader:u64 index:u64 offset:u64 total:u64 data:bytes",
     ),
     Record(
         76,
         "ConfirmRequest",
-        "Asks the leader whether it leads for certain now.",
+        "Asks a leader to confirm its leadership.",
         "term:u64",
     ),
     Record(
         77,
         "ConfirmReply",
-        "Answer to ConfirmRequest: if ``leads``, all that was acknowledged before the request "
-        "came lies at or before the entry ``commit``.",
+        "Response to ConfirmRequest. If ``leads``, the log up to the entry ``commit`` contains "
+        "everything that was acknowledged before the request.",
         "term:u64 leads:bool commit:u64",
     ),
-    Record(71, "SnapshotReply", "Answer to SnapshotChunk.", "term:u64 received:u64"),
+    Record(71, "SnapshotReply", "Response to SnapshotChunk.", "term:u64 received:u64"),
     Record(
         72,
         "MemberReport",
-        "One control process reports to another the nodes subscribed to it: changed members, "
-        "and (node, version in force) of those that changed.",
+        "Changes of the nodes subscribed to one control process, sent to another: changed members "
+        "and the versions in force that changed.",
         "whole:bool owner:str members:[Member] versions:[NodeVersion]",
     ),
     Record(
         74,
         "JoinRequest",
-        "A replica with an empty data folder asks to become part of its group.",
+        "Request of a replica with an empty data folder to join its group.",
         "identity:u64 voter:bool name:str address:str http:str",
     ),
     Record(
         75,
         "JoinReply",
-        "Answer to JoinRequest. ``status`` is a JoinStatus; ``leader`` is whom to ask.",
+        "Response to JoinRequest. ``status`` is a JoinStatus; ``leader`` is the replica to ask.",
         "status:u8 leader:str",
     ),
-    Record(73, "NodeVersion", "A node and the version in force there.", "version:u64 node:str"),
+    Record(73, "NodeVersion", "A node and its version in force.", "version:u64 node:str"),
     Record(
         60,
         "EditCommand",
-        "A checked edit of one document. ``base`` is the document's version it started "
-        "from; ``compiled_at`` is the store's revision that ``rows`` were compiled at.",
+        "A validated edit of a document. ``base`` is the version of the document that was edited; "
+        "``compiled_at`` is the revision of the store at which ``rows`` were compiled.",
         "base:u64 compiled_at:u64 when:f64 document:str operator:str request:str text:text "
         "rows:[ConfigRow]",
     ),
-    Record(61, "Document", "One document of the settings tree.", "version:u64 name:str text:text"),
+    Record(61, "Document", "A document of the settings tree.", "version:u64 name:str text:text"),
     Record(
         62,
         "HistoryEntry",
-        "One accepted edit.",
+        "An accepted edit of a document.",
         "version:u64 base:u64 when:f64 document:str operator:str request:str text:text",
     ),
     Record(
         63,
         "RequestAnswer",
-        "What an operator's request was first answered.",
+        "Result of an operator's request, returned again if the request is repeated.",
         "version:u64 result:u8 operator:str request:str",
     ),
     Record(
         64,
         "StoreState",
-        "The whole state of the configuration store. Subscribers below ``whole_below`` need "
-        "everything: what they have may come from a history that a back-up has replaced.",
+        "Complete state of the configuration store. Subscribers with a version below "
+        "``whole_below`` need all rows: a restored backup may have replaced their history.",
         "revision:u64 whole_below:u64 documents:[Document] rows:[ConfigRow] history:[HistoryEntry] "
         "requests:[RequestAnswer]",
     ),
     Record(
         65,
         "RouteTableCommand",
-        "A checked whole route table that an operator puts in force. ``version`` is the "
-        "operator's, ``base`` the one it replaces, ``digest`` identifies equal requests; the "
+        "Puts a validated, complete route table in force. ``version`` is set by the operator, "
+        "``base`` is the version that it replaces, ``digest`` identifies repeated requests; "
         "``document`` is compressed.",
         "version:u64 base:u64 digest:bytes document:bytes",
     ),
     Record(
         66,
         "TakenTable",
-        "The digest of a route table that was taken.",
+        "Version and digest of an accepted route table.",
         "version:u64 digest:bytes",
     ),
     Record(
         67,
         "RouteTableState",
-        "The whole state of a route table store; the document is compressed.",
+        "Complete state of a route table store; ``document`` is compressed.",
         "revision:u64 version:u64 document:bytes taken:[TakenTable]",
     ),
     Record(
         80,
         "ForwardRequest",
-        "One sidecar asks another to have its worker run a request. Times in milliseconds are "
-        "durations from now on, by the sender's clock: ``deadline_ms`` until the caller gives "
-        "up, ``start_within_ms`` until the request is not worth starting any more. "
-        "``expected_latency_us`` is the usual run time of this route over all workers, in "
-        "microseconds, as the sender knows it; 0: unknown. ``root_priority``, ``root_age_ms``, "
+        "Forwards a request to another sidecar, whose worker is to run it. Times in milliseconds "
+        "count from the time of sending: ``deadline_ms`` until the caller gives up, "
+        "``start_within_ms`` until the latest useful start. ``expected_latency_us`` is the "
+        "sender's estimate of the route's run time over all workers; 0: unknown. ``root_priority``, ``root_age_ms``, "
         "``root_objective_ms`` and ``root_deadline_ms`` describe the root request of the call "
-        "tree: the last two are the time left of its objective and of its deadline. "
-        "``is_retry``: this run, or one above it in the tree, is a second one. "
-        "``suspected``: the worker that ran it before crashed, and the request may be the cause. "
-        "``isolated``: every sender sends this suspect here, to run in isolation. "
-        "``tenant`` owns the request; empty where requests need no key. ``lines`` holds the "
-        "request line and the headers, ``body`` what of the body has been read, and ``whole`` "
-        "says that this is all of it.",
+        "tree; the last two are the time left until its objective and its deadline. "
+        "``is_retry``: this run, or one above it in the tree, is a retry. ``suspected``: the "
+        "worker that ran the request before crashed, possibly because of it. ``isolated``: all "
+        "senders route this suspected request here, to run in isolation. ``tenant`` owns the "
+        "request; empty if requests need no key. ``lines`` holds the request line and the "
+        "headers, ``body`` the part of the body read so far; ``whole``: that is all of it.",
         "deadline_ms:u32 start_within_ms:u32 expected_latency_us:u32 priority:u8 root_priority:u8 "
         "root_age_ms:u32 root_objective_ms:u32 root_deadline_ms:u32 is_retry:bool "
         "idempotent:bool bodiless:bool framing:u8 whole:bool suspected:bool isolated:bool "
@@ -410,22 +413,25 @@
         "lines:bytes body:bytes",
     ),
     Record(
-        81, "ForwardBody", "The next piece of a body; none after the last.", "last:bool data:bytes"
+        81,
+        "ForwardBody",
+        "A piece of a body; ``last``: the record after the final piece, without data.",
+        "last:bool data:bytes",
     ),
     Record(
-        82, "ForwardContinue", "The request is admitted: send the rest of its body.", "unused:u8"
+        82, "ForwardContinue", "Admits a request and asks for the rest of its body.", "unused:u8"
     ),
     Record(
         83,
         "ForwardAnswer",
-        "First record of the answer. ``arrived``: the request reached the worker. ``running``, "
-        "``queued`` and ``slots`` are the sidecar's own counts. ``waited_ms`` and "
-        "``run_time_ms`` are the times before and at the worker. ``faults`` is the ratio of the "
-        "worker's runs that failed by its own fault, in percent; ``slowness`` its run times as a "
-        "multiple of the expected latency, in tenths. ``downstream_starved``: a call made by the "
-        "run, or below it, found no capacity. ``failed_service`` and ``failed_reason`` describe "
-        "the deepest call that failed, ``downstream_cost`` the slot time of the run's calls. "
-        "``body`` is the first piece, and all of it if ``whole``.",
+        "First record of the response to a ForwardRequest. ``arrived``: the request reached the "
+        "worker. ``running``, ``queued`` and ``slots`` are the counts of the responding sidecar. "
+        "``waited_ms`` is the time before the run, ``run_time_ms`` the time at the worker. "
+        "``faults`` is the percentage of runs that failed by the worker's fault; ``slowness`` is "
+        "the run time in tenths of the expected latency. ``downstream_starved``: a call made by "
+        "the run, or further downstream, found no capacity. ``failed_service`` and "
+        "``failed_reason`` describe the deepest failed call, ``downstream_cost`` the slot time "
+        "of downstream calls. ``body`` is the first piece of the body; ``whole``: all of it.",
         "outcome:u8 reason:u8 arrived:bool whole:bool framing:u8 status:u16 retry_after_ms:u32 "
         "running:u32 queued:u32 slots:u32 faults:u8 slowness:u8 waited_ms:u32 run_time_ms:u32 "
         "downstream_starved:bool failed_reason:u8 length:u64 failed_service:str "
@@ -434,27 +440,27 @@
     Record(
         85,
         "ServiceWork",
-        "Time that slots of a service were occupied for the sake of one request.",
+        "Slot time of a service used by one request.",
         "milliseconds:u32 service:str",
     ),
     Record(
         90,
         "QuarantineEntry",
-        "A request that is suspected of ending the workers that run it. ``held_ms`` is how much "
-        "longer it is refused, 0 for one that is only suspected; ``ends`` names the crashes of "
-        "workers that are evidence against it, 8 bytes each; ``cleared``: a worker has answered "
-        "it, or an operator has lifted it.",
+        "A request suspected of crashing workers. ``held_ms`` is the remaining quarantine, 0 for "
+        "a request that is only suspected; ``ends`` identifies the worker crashes attributed to "
+        "it, 8 bytes each; ``cleared``: a worker has completed it, or an operator has lifted "
+        "its quarantine.",
         "held_ms:u32 cleared:bool service:str ends:bytes identity:bytes",
     ),
     Record(
         91,
         "QuarantineNews",
-        "What a sidecar knows of such requests. ``digest`` is that of all it quarantines; ``asks`` "
-        "wants the receiver's own entries where its digest differs; ``settled``: the "
-        "sender has learnt from others itself, since its start. The receiver passes it on "
-        "to the nodes whose names come after its own, up to ``relay_to``; those of ``service``, "
-        "or all where it is empty.",
+        "Quarantine entries sent between sidecars. ``digest`` is that of all requests quarantined "
+        "by the sender; ``asks`` requests the receiver's entries if its digest differs; "
+        "``settled``: the sender has synchronized with others since its start. The "
+        "receiver relays the record to the nodes of ``service`` (all if empty) whose names sort "
+        "after its node name, up to ``relay_to``.",
         "digest:u64 asks:bool settled:bool service:str relay_to:str entries:[QuarantineEntry]",
     ),
-    Record(84, "ForwardCut", "The answer ends here, before its last byte.", "reason:u8"),
+    Record(84, "ForwardCut", "Ends a truncated response.", "reason:u8"),
 )
--- a/tests/test_records.py
+++ b/tests/test_records.py
@@ -1,4 +1,4 @@
-"""Every record of the schema survives the wire, and broken bytes are refused."""
+"""Encoding of every record of the schema, and rejection of malformed bytes."""
 
 import pytest
 from hypothesis import given
@@ -25,7 +25,7 @@
 
 
 def sample(name: str):
-    record = next(item for item in RECORDS if item.name == name)
+    record = next(candidate for candidate in RECORDS if candidate.name == name)
     values = {}
     for field in record.fields.split():
         field_name, kind = field.split(":")
@@ -34,13 +34,13 @@
 
 
 @pytest.mark.parametrize("record", RECORDS, ids=lambda record: record.name)
-def test_record_survives_the_wire(record):
+def test_record_round_trip(record):
     message = sample(record.name)
     assert type(message).unpack(message.pack()) == message
 
 
 @pytest.mark.parametrize("record", RECORDS, ids=lambda record: record.name)
-def test_cut_or_extended_record_is_refused(record):
+def test_truncated_or_extended_record_is_rejected(record):
     data = sample(record.name).pack()
     kind = MESSAGES[record.kind]
     for broken in (data[:-1], data + b"x", b""):
@@ -49,7 +49,7 @@
 
 
 @given(st.binary(max_size=200), st.sampled_from(sorted(MESSAGES)))
-def test_random_bytes_never_raise_anything_else(data, kind):
+def test_random_bytes_raise_only_malformed_record_errors(data, kind):
     try:
         message = MESSAGES[kind].unpack(data)
     except MalformedRecordError:
@@ -57,12 +57,12 @@
     assert all(hasattr(message, name) for name in message.__slots__) and message.__slots__
 
 
-def test_numbers_out_of_range_are_refused_when_packing():
+def test_pack_rejects_numbers_out_of_range():
     with pytest.raises(MalformedRecordError):
         MESSAGES[10](deadline_ms=-1).pack()
 
 
-def test_committed_file_is_current():
+def test_generated_module_is_up_to_date():
     import cranklane.records.messages as generated
 
     with open(generated.__file__) as file:
