--- a/src/cranklane/policy/__init__.py
+++ b/src/cranklane/policy/__init__.py
@@ -1,5 +1,5 @@
-"""The language for routes and policies, and its compiler.
+"""The policy language and its compiler.
 
-Only control processes and the command line import this package: nodes receive
-compiled rows.
+Control processes and the command line parse and compile policies; nodes receive compiled
+rows.
 """
--- a/src/cranklane/policy/adopted_policy.py
+++ b/src/cranklane/policy/adopted_policy.py
@@ -1,6 +1,6 @@
-"""The policy in force at a node, read from compiled rows.
+"""The policy in force at a node, decoded from compiled rows.
 
-Owns the rows adopted so far; :mod:`~cranklane.distribution.subscription` brings them.
+The rows arrive through :mod:`~cranklane.distribution.subscription`.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from cranklane.records.messages import ConfigDelta, RouteRow, ServiceRow, TenantRow
 
 PERMILLE = 1000
-"""Rows state ratios in thousandths."""
+"""Factor between the ratios in rows, in permille, and fractions."""
 
 CLIENTS = "edge"
-"""Name under which a tenant's outside clients stand in ``callers``."""
+"""Entry in ``callers`` that admits a tenant's external clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One route, ready to match.
+    """A route with a compiled path pattern.
 
-    :ivar criticality: of a root request on this route.
-    :ivar caps: whether it also bounds the calls made for a more critical request.
-    :ivar deadline_ms: time a root request on this route has.
-    :ivar allowance: retries a root request on this route may cause.
+    :ivar criticality: criticality of root requests on this route.
+    :ivar caps: whether ``criticality`` also limits calls made for a more critical request.
+    :ivar deadline_ms: deadline of root requests on this route, in milliseconds.
+    :ivar allowance: retries that a root request on this route may cause in its call tree.
     """
 
     name: str
@@ -40,22 +40,24 @@
     def criticality_for(self, root: Criticality) -> Criticality:
         """Return the criticality of a call made for a root request.
 
-        A child call is as critical as its root request, which fails without it,
-        unless the policy states that this route's calls matter less.
+        A call inherits the criticality of its root request, which fails if the call fails,
+        unless the policy sets a lower one for this route.
         """
         return min(root, self.criticality) if self.caps else root
 
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """One service, its routes in order and who may call it.
+    """A service with its routes, limits and permitted callers.
 
-    :ivar slots: calls its worker runs at once at most.
-    :ivar queue: calls that may wait for a slot.
-    :ivar retry_ratio: retries towards it for each call.
+    :ivar slots: maximum number of concurrent calls of a worker.
+    :ivar queue: maximum number of calls waiting for a slot.
+    :ivar calls_others: whether the service makes downstream calls.
+    :ivar retry_ratio: permitted retries per call to the service.
     :ivar calls: full names of the services that it may call.
     :ivar callers: full names of the services that may call it.
-    :ivar ledgers: ledger groups of its once-calls.
+    :ivar ledgers: ledger groups of its ``once`` calls.
+    :ivar routes: routes in matching order.
     """
 
     tenant: str
@@ -71,13 +73,13 @@
 
     @property
     def full_name(self) -> str:
-        """``tenant.service``."""
+        """Name in the form ``tenant.service``."""
         return f"{self.tenant}.{self.name}"
 
     def route(self, method: str, path: str) -> Route | None:
-        """Return the first route that matches, or None.
+        """Return the first matching route, or None.
 
-        :param path: without its query.
+        :param path: request path without its query.
         """
         for route in self.routes:
             if route.method == method and route.pattern.fullmatch(path):
@@ -86,7 +88,7 @@
 
 
 def _pattern(text: str) -> re.Pattern[str]:
-    """Compile a route's path: ``*`` is one segment, a final ``**`` is any rest.
+    """Compile a path pattern: ``*`` matches one segment, a final ``**`` any number.
 
     >>> bool(_pattern("/a/*").fullmatch("/a/b")), bool(_pattern("/a/*").fullmatch("/a/b/c"))
     (True, False)
@@ -126,9 +128,9 @@
 
 
 class AdoptedPolicy:
-    """Rows adopted so far, in order and never backwards.
+    """The policy rows in force; versions never decrease.
 
-    :ivar version: revision of the newest change in force; 0 before the first.
+    :ivar version: revision of the newest adopted change; 0 before the first.
     """
 
     def __init__(self) -> None:
@@ -138,7 +140,7 @@
         self._tenant_of_token: dict[str, str] = {}
 
     def adopt(self, delta: ConfigDelta) -> bool:
-        """Apply a delta; return False when it does not follow what is in force."""
+        """Apply a delta; return False if it is outdated or does not follow the version in force."""
         if delta.version < self.version:
             return False
         if not delta.whole and delta.base != self.version:
@@ -155,36 +157,36 @@
         return True
 
     def _apply(self, key: str, value: bytes) -> None:
-        kind, _, rest = key.partition("/")
+        kind, _, row_name = key.partition("/")
         if kind == "tenant":
             if value:
-                self._tenants[rest] = TenantRow.unpack(value)
+                self._tenants[row_name] = TenantRow.unpack(value)
             else:
-                self._tenants.pop(rest, None)
+                self._tenants.pop(row_name, None)
         elif kind == "service":
-            tenant, _, name = rest.partition("/")
+            tenant, _, name = row_name.partition("/")
             if value:
                 self._services[tenant, name] = _service(ServiceRow.unpack(value))
             else:
                 self._services.pop((tenant, name), None)
 
     def service(self, tenant: str, name: str) -> Service | None:
-        """Return a service by its tenant and name."""
+        """Return a service, or None if it is not defined."""
         return self._services.get((tenant, name))
 
     def services(self) -> list[Service]:
-        """Return every service known here."""
+        """Return all services."""
         return list(self._services.values())
 
     def share(self, tenant: str) -> int:
-        """Return a tenant's weight against other tenants."""
+        """Return a tenant's weight relative to other tenants; 1 for an unknown tenant."""
         row = self._tenants.get(tenant)
         return row.share if row is not None else 1
 
     def tenant_of(self, digest: str) -> str | None:
         """Return the tenant that owns a hashed token, or None.
 
-        Looking up the SHA-256 of the token takes a time that depends on the
-        digest only, so nothing can be learned of a right token from it.
+        The duration of a lookup depends only on the SHA-256 of the token, which makes timing
+        attacks on tokens infeasible.
         """
         return self._tenant_of_token.get(digest)
--- a/src/cranklane/policy/compiler.py
+++ b/src/cranklane/policy/compiler.py
@@ -1,7 +1,7 @@
-"""Compiles a policy's tree into flat rows for nodes.
+"""Compiles a policy tree into rows for nodes.
 
-A row holds every value a node needs, with nothing left to inherit. Rows are
-keyed ``tenant/NAME`` and ``service/TENANT/NAME``.
+All inherited values in a row are resolved. Row keys are ``tenant/NAME`` and
+``service/TENANT/NAME``.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from cranklane.records.messages import RouteRow, ServiceRow, TenantRow
 
 MAX_RETRIES = 16
-"""Maximum retries of a root request. A choice: an allowance beyond it bounds nothing."""
+"""Maximum retries of a root request."""
 
 MAX_DEADLINE_MS = 3_600_000
-"""Maximum deadline of a route: an hour. A choice: a longer one is taken for a mistake."""
+"""Maximum deadline of a route: one hour. A longer one is probably a mistake."""
 
 MAX_SHARE = 1_000_000
-"""Maximum share of a tenant. A choice: a greater number is taken for a mistake."""
+"""Maximum share of a tenant."""
 
 MAX_SLOTS = 100_000
-"""Maximum slots of a worker, and calls in its queue. A choice, as above."""
+"""Maximum slots of a worker, and maximum size of its queue."""
 
 DEFAULTS: dict[str, Any] = {
     "criticality": Criticality.NORMAL,
@@ -38,12 +38,12 @@
     "retry_ratio_permille": 100,
     "ledger": ("main",),
 }
-"""Values of a branch that nothing sets."""
+"""Values of settings that no branch sets."""
 
 
 @dataclass(frozen=True)
 class Origin:
-    """A value in force and the branch that set it (``default`` when none did)."""
+    """An effective value with the branch that set it (``default`` if none did)."""
 
     value: Any
     branch: str
@@ -51,15 +51,15 @@
 
 
 def effective(name: str, branches: list[tuple[str, Branch]]) -> Origin:
-    """Return a setting's value from the innermost branch that states it.
+    """Return a setting's value from the innermost branch that sets it.
 
-    :param name: the setting's field name.
-    :param branches: (label, branch) from the root inwards.
+    :param name: field name of the setting.
+    :param branches: (label, branch) from the root to the innermost branch.
     """
     for label, branch in reversed(branches):
-        stated = getattr(branch, name, None)
-        if stated is not None:
-            return Origin(stated.value, label, stated.position)
+        setting = getattr(branch, name, None)
+        if setting is not None:
+            return Origin(setting.value, label, setting.position)
     return Origin(DEFAULTS[name], "default", None)
 
 
@@ -74,9 +74,9 @@
 
 
 def compile_policy(policy: Policy) -> dict[str, bytes]:
-    """Return the rows of a checked policy.
+    """Check a policy and return its rows.
 
-    :raises PolicyError: with every problem found.
+    :raises PolicyError: with all problems found.
     """
     problems = check(policy)
     if problems:
@@ -104,8 +104,8 @@
         retry_ratio_permille=value("retry_ratio_permille"),
         tenant=tenant.name,
         name=service.name,
-        calls=[str(item.value) for item in service.calls],
-        callers=[str(item.value) for item in service.callers],
+        calls=[str(reference.value) for reference in service.calls],
+        callers=[str(reference.value) for reference in service.callers],
         ledgers=list(value("ledger")) if _has_once(branches, service) else [],
         routes=[_route_row(branches, route) for route in service.routes],
     )
@@ -121,7 +121,7 @@
 def branches_of(
     policy: Policy, tenant: Tenant, service: Service, route: Route | None = None
 ) -> list[tuple[str, Branch]]:
-    """Return the labelled branches from the root to a service or route."""
+    """Return (label, branch) pairs from the root to a service or route."""
     branches: list[tuple[str, Branch]] = [("root", policy), (tenant.name, tenant)]
     branches.append((f"{tenant.name}.{service.name}", service))
     if route is not None:
@@ -155,13 +155,17 @@
 
 
 def check(policy: Policy) -> list[str]:
-    """Return the problems of a policy that its grammar cannot see."""
+    """Return the problems of a policy that the grammar does not exclude."""
     problems = _range_problems(policy)
     names: set[str] = set()
     for tenant in policy.tenants:
-        problems += _repeated(names, tenant.name, f"tenant {tenant.name}", tenant.position)
+        problems += _duplicate_problems(
+            names, tenant.name, f"tenant {tenant.name}", tenant.position
+        )
         if tenant.name == SYSTEM_TENANT:
-            problems.append(_at(tenant.position, f"the tenant {SYSTEM_TENANT} is the system's own"))
+            problems.append(
+                _problem_at(tenant.position, f"the tenant name {SYSTEM_TENANT} is reserved")
+            )
         problems += _range_problems(tenant)
         problems += _tenant_problems(tenant)
     return problems
@@ -172,7 +176,7 @@
     names: set[str] = set()
     for service in tenant.services:
         label = f"service {tenant.name}.{service.name}"
-        problems += _repeated(names, service.name, label, service.position)
+        problems += _duplicate_problems(names, service.name, label, service.position)
         problems += _range_problems(service)
         problems += _service_problems(label, service)
     return problems
@@ -183,31 +187,38 @@
     names: set[str] = set()
     targets: set[str] = set()
     for route in service.routes:
-        problems += _repeated(names, route.name, f"route {route.name} of {label}", route.position)
+        problems += _duplicate_problems(
+            names, route.name, f"route {route.name} of {label}", route.position
+        )
         target = f"{route.method} {route.pattern}"
-        problems += _repeated(targets, target, f"{target} of {label}", route.position)
+        problems += _duplicate_problems(targets, target, f"{target} of {label}", route.position)
         problems += _range_problems(route)
         if "**" in route.pattern[:-2]:
-            problems.append(_at(route.position, f'"**" may only end a path, in {route.pattern}'))
+            problems.append(
+                _problem_at(
+                    route.position,
+                    f'"**" is allowed only at the end of a path, found {route.pattern}',
+                )
+            )
     return problems
 
 
 def _range_problems(branch: Branch) -> list[str]:
     problems = []
-    for name, (minimum, maximum, word) in _RANGES.items():
-        stated = getattr(branch, name, None)
-        if stated is not None and not minimum <= stated.value <= maximum:
-            text = f"{word}: found {stated.value}; expected {minimum} to {maximum}"
-            problems.append(_at(stated.position, text))
+    for name, (minimum, maximum, keyword) in _RANGES.items():
+        setting = getattr(branch, name, None)
+        if setting is not None and not minimum <= setting.value <= maximum:
+            text = f"{keyword}: found {setting.value}; expected {minimum} to {maximum}"
+            problems.append(_problem_at(setting.position, text))
     return problems
 
 
-def _repeated(names: set[str], name: str, label: str, position: Position) -> list[str]:
+def _duplicate_problems(names: set[str], name: str, label: str, position: Position) -> list[str]:
     if name in names:
-        return [_at(position, f"{label} is defined twice")]
+        return [_problem_at(position, f"{label} is defined twice")]
     names.add(name)
     return []
 
 
-def _at(position: Position, text: str) -> str:
+def _problem_at(position: Position, text: str) -> str:
     return f"line {position.line}, column {position.column}: {text}"
--- a/src/cranklane/policy/model.py
+++ b/src/cranklane/policy/model.py
@@ -1,7 +1,7 @@
-"""The tree a policy text is read into: root, tenants, services and routes.
+"""Tree of a parsed policy: root, tenants, services and routes.
 
-Each branch holds only what its own text sets; :mod:`cranklane.policy.compiler`
-works out what is inherited.
+A branch holds only the settings in its own text; :mod:`cranklane.policy.compiler` resolves
+inheritance.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 @dataclass(frozen=True)
 class Position:
-    """Where something stands in a text; both count from 1."""
+    """Position in a policy text; lines and columns count from 1."""
 
     line: int
     column: int
 
 
 @dataclass(frozen=True)
-class Stated(Generic[_Value]):
-    """A value that a text states, and where."""
+class Located(Generic[_Value]):
+    """A value with its position in the policy text."""
 
     value: _Value
     position: Position
@@ -33,23 +33,23 @@
 
 @dataclass
 class Branch:
-    """Settings that any branch may set and its children inherit.
+    """Settings that every branch may set; its children inherit them.
 
-    :ivar deadline_ms: time a root request has, in milliseconds.
-    :ivar retries: retries that one root request may cause in its whole tree.
-    :ivar ledger: ledger groups that once-calls are spread over.
+    :ivar deadline_ms: deadline of a root request, in milliseconds.
+    :ivar retries: retries that a root request may cause in its call tree.
+    :ivar ledger: ledger groups of ``once`` calls.
     """
 
-    criticality: Stated[Criticality] | None = None
-    repeat: Stated[Repeat] | None = None
-    deadline_ms: Stated[int] | None = None
-    retries: Stated[int] | None = None
-    ledger: Stated[tuple[str, ...]] | None = None
+    criticality: Located[Criticality] | None = None
+    repeat: Located[Repeat] | None = None
+    deadline_ms: Located[int] | None = None
+    retries: Located[int] | None = None
+    ledger: Located[tuple[str, ...]] | None = None
 
 
 @dataclass(frozen=True)
 class ServiceName:
-    """A service's full name; names of tenants never collide."""
+    """Full name of a service, unique across tenants."""
 
     tenant: str
     service: str
@@ -60,7 +60,7 @@
 
 @dataclass
 class Route(Branch):
-    """One route of a service."""
+    """A route of a service."""
 
     name: str = ""
     method: str = ""
@@ -70,30 +70,35 @@
 
 @dataclass
 class Service(Branch):
-    """A service, the services it calls, and those whose calls it accepts.
+    """A service with its limits, its downstream services and its permitted callers.
 
-    :ivar slots: calls one worker runs at once.
-    :ivar queue: calls one node lets wait.
-    :ivar retry_ratio_permille: retries allowed per 1,000 calls to this service.
+    :ivar slots: maximum number of concurrent calls of a worker.
+    :ivar queue: maximum number of calls queued at a node.
+    :ivar retry_ratio_permille: permitted retries per 1,000 calls to the service.
     """
 
     name: str = ""
     position: Position = Position(1, 1)
-    slots: Stated[int] | None = None
-    queue: Stated[int] | None = None
-    retry_ratio_permille: Stated[int] | None = None
-    calls: list[Stated[ServiceName]] = field(default_factory=list)
-    callers: list[Stated[ServiceName]] = field(default_factory=list)
+    slots: Located[int] | None = None
+    queue: Located[int] | None = None
+    retry_ratio_permille: Located[int] | None = None
+    calls: list[Located[ServiceName]] = field(default_factory=list)
+    callers: list[Located[ServiceName]] = field(default_factory=list)
     routes: list[Route] = field(default_factory=list)
 
 
 @dataclass
 class Tenant(Branch):
-    """A tenant, its weight against other tenants, and its hashed tokens."""
+    """A tenant with its services.
+
+    :ivar share: weight relative to other tenants.
+    :ivar tokens: SHA-256 digests of its tokens.
+    :ivar source: policy text of the tenant.
+    """
 
     name: str = ""
     position: Position = Position(1, 1)
-    share: Stated[int] | None = None
+    share: Located[int] | None = None
     tokens: list[str] = field(default_factory=list)
     services: list[Service] = field(default_factory=list)
     source: str = ""
@@ -101,21 +106,21 @@
 
 @dataclass
 class Policy(Branch):
-    """The root of the tree.
+    """Root of the policy tree.
 
-    :ivar source: the root's own text, without its tenants.
+    :ivar source: policy text without the tenants.
     """
 
     tenants: list[Tenant] = field(default_factory=list)
     source: str = ""
 
     def services(self) -> Iterator[tuple[Tenant, Service]]:
-        """Yield every service with its tenant, in the text's order."""
+        """Yield each service with its tenant, in the order of the text."""
         for tenant in self.tenants:
             for service in tenant.services:
                 yield tenant, service
 
 
 def states_anything(branch: Branch) -> bool:
-    """Return whether a branch sets anything itself, tenants and services aside."""
-    return any(getattr(branch, item.name) is not None for item in fields(Branch))
+    """Return whether a branch itself sets any inheritable setting."""
+    return any(getattr(branch, setting.name) is not None for setting in fields(Branch))
--- a/src/cranklane/policy/names.py
+++ b/src/cranklane/policy/names.py
@@ -1,6 +1,6 @@
-"""Names that policies and processes agree on."""
+"""Reserved names in policies."""
 
 from __future__ import annotations
 
 SYSTEM_TENANT = "cranklane"
-"""Tenant under which the system's own services are members; nobody may define it."""
+"""Tenant of cranklane's own services; policies must not define it."""
--- a/src/cranklane/policy/syntax.py
+++ b/src/cranklane/policy/syntax.py
@@ -1,4 +1,4 @@
-"""Reads a policy text into its tree."""
+"""Parses a policy text into a policy tree."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from cranklane.outcome import Criticality, Repeat
 from cranklane.policy.model import (
     Branch,
+    Located,
     Policy,
     Position,
     Route,
     Service,
     ServiceName,
-    Stated,
     Tenant,
 )
 
 _UNIT_MS = {"ms": 1, "s": 1000, "m": 60_000}
-_TERMINAL_WORDS = {
+_TERMINAL_DESCRIPTIONS = {
     "NAME": "a name",
     "COUNT": "a whole number",
     "DURATION": "a time such as 500ms, 2s or 1m",
@@ -50,34 +50,37 @@
     return Lark(grammar, parser="lalr", propagate_positions=True)
 
 
-def _expected_words(names: set[str]) -> str:
-    words = {_TERMINAL_WORDS.get(name, f'"{name.lower().replace("_", "-")}"') for name in names}
-    return " or ".join(sorted(words))
+def _expected_tokens(names: set[str]) -> str:
+    descriptions = {
+        _TERMINAL_DESCRIPTIONS.get(name, f'"{name.lower().replace("_", "-")}"') for name in names
+    }
+    return " or ".join(sorted(descriptions))
 
 
 def _describe(error: UnexpectedInput, text: str) -> str:
     if isinstance(error, UnexpectedCharacters):
-        found, names = (
+        found_text, names = (
             repr(text[error.pos_in_stream or 0]),
             {str(name) for name in error.allowed or ()},
         )
     elif isinstance(error, UnexpectedEOF):
-        found, names = "the end", set(error.expected)
+        found_text, names = "the end", set(error.expected)
     else:
         token = getattr(error, "token", "")
-        found = "the end" if getattr(token, "type", "") == "$END" else repr(str(token))
+        found_text = "the end" if getattr(token, "type", "") == "$END" else repr(str(token))
         names = set(getattr(error, "accepts", None) or getattr(error, "expected", None) or [])
     line, column = error.line, error.column
     if line < 1:
         lines = text.splitlines() or [""]
         line, column = len(lines), len(lines[-1]) + 1
-    return f"line {line}, column {column}: found {found}; expected {_expected_words(names)}"
+    return f"line {line}, column {column}: found {found_text}; expected {_expected_tokens(names)}"
 
 
 def parse(text: str) -> Policy:
-    """Return the tree of a policy text.
+    """Parse a policy text.
 
-    :raises PolicyError: with line, column and the words expected there.
+    :raises PolicyError: with line, column and expected tokens of a syntax error, or with all
+        settings that a branch sets more than once.
     """
     try:
         tree = _parser().parse(text)
@@ -86,14 +89,14 @@
     return _Reader(text).policy(tree)
 
 
-def _position(item: Tree[Any] | Token) -> Position:
-    if isinstance(item, Token):
-        return Position(item.line or 1, item.column or 1)
-    return Position(getattr(item.meta, "line", 1), getattr(item.meta, "column", 1))
+def _position(element: Tree[Any] | Token) -> Position:
+    if isinstance(element, Token):
+        return Position(element.line or 1, element.column or 1)
+    return Position(getattr(element.meta, "line", 1), getattr(element.meta, "column", 1))
 
 
 def _duration_ms(text: str) -> int:
-    """Return milliseconds.
+    """Convert a duration to milliseconds.
 
     >>> _duration_ms("2s"), _duration_ms("250ms")
     (2000, 250)
@@ -103,7 +106,7 @@
 
 
 class _Reader:
-    """Builds the typed tree from the parser's; reports what is stated twice."""
+    """Converts the parse tree to a policy tree and reports duplicate settings."""
 
     def __init__(self, text: str) -> None:
         self._text = text
@@ -112,90 +115,90 @@
     def policy(self, tree: Tree[Any]) -> Policy:
         policy = Policy()
         spans = []
-        for item in tree.children:
-            if item.data == "tenant":
-                policy.tenants.append(self._tenant(item))
-                spans.append((item.meta.start_pos, item.meta.end_pos))
+        for statement in tree.children:
+            if statement.data == "tenant":
+                policy.tenants.append(self._tenant(statement))
+                spans.append((statement.meta.start_pos, statement.meta.end_pos))
             else:
-                self._setting(policy, item)
+                self._setting(policy, statement)
         if self._problems:
             raise PolicyError(self._problems)
         policy.source = self._text_outside(spans)
         return policy
 
     def _text_outside(self, spans: list[tuple[int, int]]) -> str:
-        kept, position = [], 0
+        outside, position = [], 0
         for start, end in spans:
-            kept.append(self._text[position:start])
+            outside.append(self._text[position:start])
             position = end
-        kept.append(self._text[position:])
-        return "".join(kept).strip()
+        outside.append(self._text[position:])
+        return "".join(outside).strip()
 
     def _tenant(self, tree: Tree[Any]) -> Tenant:
-        name, *items = tree.children
+        name, *statements = tree.children
         tenant = Tenant(name=str(name), position=_position(name))
         tenant.source = self._text[tree.meta.start_pos : tree.meta.end_pos]
-        for item in items:
-            if item.data == "service":
-                tenant.services.append(self._service(item))
-            elif item.data == "token":
-                tenant.tokens.append(str(item.children[0]).removeprefix("sha256:"))
+        for statement in statements:
+            if statement.data == "service":
+                tenant.services.append(self._service(statement))
+            elif statement.data == "token":
+                tenant.tokens.append(str(statement.children[0]).removeprefix("sha256:"))
             else:
-                self._setting(tenant, item)
+                self._setting(tenant, statement)
         return tenant
 
     def _service(self, tree: Tree[Any]) -> Service:
-        name, *items = tree.children
+        name, *statements = tree.children
         service = Service(name=str(name), position=_position(name))
-        for item in items:
-            if item.data == "route":
-                service.routes.append(self._route(item))
-            elif item.data == "calls":
-                service.calls += self._references(item)
-            elif item.data == "callers":
-                service.callers += self._references(item)
+        for statement in statements:
+            if statement.data == "route":
+                service.routes.append(self._route(statement))
+            elif statement.data == "calls":
+                service.calls += self._references(statement)
+            elif statement.data == "callers":
+                service.callers += self._references(statement)
             else:
-                self._setting(service, item)
+                self._setting(service, statement)
         return service
 
     def _route(self, tree: Tree[Any]) -> Route:
-        name, method, pattern, *items = tree.children
+        name, method, pattern, *statements = tree.children
         route = Route(name=str(name), method=str(method), pattern=str(pattern))
         route.position = _position(name)
-        for item in items:
-            self._setting(route, item)
+        for statement in statements:
+            self._setting(route, statement)
         return route
 
-    def _references(self, tree: Tree[Any]) -> list[Stated[ServiceName]]:
+    def _references(self, tree: Tree[Any]) -> list[Located[ServiceName]]:
         return [
-            Stated(ServiceName(str(item.children[0]), str(item.children[1])), _position(item))
-            for item in tree.children
+            Located(ServiceName(str(name.children[0]), str(name.children[1])), _position(name))
+            for name in tree.children
         ]
 
     def _setting(self, branch: Branch, tree: Tree[Any]) -> None:
         token = tree.children[0]
-        name, value = _setting_value(str(tree.data), [str(item) for item in tree.children])
+        name, value = _setting_value(str(tree.data), [str(child) for child in tree.children])
         if getattr(branch, name) is not None:
             where = _position(token)
-            word = str(tree.data).replace("_", "-")
+            keyword = str(tree.data).replace("_", "-")
             self._problems.append(
-                f"line {where.line}, column {where.column}: {word} is stated twice here"
+                f"line {where.line}, column {where.column}: {keyword} is stated twice here"
             )
-        setattr(branch, name, Stated(value, _position(token)))
+        setattr(branch, name, Located(value, _position(token)))
 
 
-def _setting_value(word: str, texts: list[str]) -> tuple[str, Any]:
+def _setting_value(keyword: str, texts: list[str]) -> tuple[str, Any]:
     text = texts[0]
-    match word:
+    match keyword:
         case "ledger":
-            return word, tuple(texts)
+            return keyword, tuple(texts)
         case "criticality":
-            return word, Criticality[text.upper()]
+            return keyword, Criticality[text.upper()]
         case "repeat":
-            return word, Repeat[text.upper()]
+            return keyword, Repeat[text.upper()]
         case "deadline":
             return "deadline_ms", _duration_ms(text)
         case "retry_ratio":
             return "retry_ratio_permille", int(text.rstrip("%")) * 10
         case _:
-            return word, int(text)
+            return keyword, int(text)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""The policy language: what is read, inherited and refused."""
+"""Parsing, inheritance and rejection of policies."""
 
 import pytest
 
@@ -33,13 +33,13 @@
     return configuration
 
 
-def test_branches_inherit_and_override():
+def test_branches_inherit_and_override_settings():
     service = compiled(TEXT).service("a", "s")
     route = service.route("GET", "/r/1")
     assert (route.criticality, route.repeat) == (Criticality.CRITICAL, Repeat.ONCE)
     assert (route.deadline_ms, route.allowance) == (2000, 3)
-    other = service.route("GET", "/q/1/2")
-    assert (other.criticality, other.deadline_ms) == (Criticality.LOW, 500)
+    inherited = service.route("GET", "/q/1/2")
+    assert (inherited.criticality, inherited.deadline_ms) == (Criticality.LOW, 500)
     assert service.route("POST", "/r/1") is None
     assert service.route("GET", "/r/1/2") is None
 
@@ -69,7 +69,7 @@
         ),
     ],
 )
-def test_errors_name_place_and_expected_words(text, expected):
+def test_errors_name_position_and_expected_tokens(text, expected):
     with pytest.raises(PolicyError) as error:
         compile_policy(parse(text))
     assert any(expected in problem for problem in error.value.problems), error.value.problems
@@ -82,15 +82,15 @@
 
 
 @pytest.mark.parametrize("name", sorted(DEPLOYMENTS))
-def test_examples_compile_at_the_sizes_of_the_deployments(name):
+def test_policies_of_the_deployments_compile(name):
     deployment = DEPLOYMENTS[name]
     configuration = compiled(deployment.policy())
     for plan in deployment.services:
         service = configuration.service(name, plan.name)
         assert service.slots == plan.slots
         for work in plan.work.values():
-            for child, path in work.children:
-                assert configuration.service(name, child).route("GET", path) is not None
+            for child_service, path in work.children:
+                assert configuration.service(name, child_service).route("GET", path) is not None
     for kind in deployment.requests:
         service = configuration.service(name, kind.service)
         route = service.route(kind.method, kind.path.format(n=1))
