--- a/src/cranklane/errors.py
+++ b/src/cranklane/errors.py
@@ -1,32 +1,32 @@
-"""Every exception the product raises on purpose.
+"""Exceptions of this package.
 
-Outcomes of calls are values (:mod:`cranklane.outcome`); exceptions are for a
-broken connection, a broken file or input that cannot be read.
+Exceptions report failed connections, corrupted files and invalid input; the results of
+calls are values (:mod:`cranklane.outcome`).
 """
 
 from __future__ import annotations
 
 
 class CranklaneError(Exception):
-    """Base of every error raised by this package."""
+    """Base class of the errors raised by this package."""
 
 
 class MalformedRecordError(CranklaneError):
-    """A record's bytes do not match its schema."""
+    """The bytes of a record do not match its schema, or a value does not fit its field."""
 
 
 class ConnectionLostError(CranklaneError):
-    """The connection to a peer ended or stayed silent for too long."""
+    """The connection to a peer ended, failed or timed out."""
 
 
 class AnswerCutError(CranklaneError):
-    """An answer ended before its last byte; it must never look complete."""
+    """A response ended before its last byte; it must not be passed on as complete."""
 
 
 class SettingsError(CranklaneError):
-    """A settings file or flag of a process is invalid.
+    """A settings file or a flag is invalid.
 
-    :ivar problems: one line for each invalid key.
+    :ivar problems: one line per invalid, missing or unknown key.
     """
 
     def __init__(self, problems: list[str]) -> None:
@@ -35,9 +35,9 @@
 
 
 class PolicyError(CranklaneError):
-    """A policy text does not compile.
+    """A policy is invalid.
 
-    :ivar problems: one line for each problem, with line and column.
+    :ivar problems: one line per problem, with line and column.
     """
 
     def __init__(self, problems: list[str]) -> None:
@@ -46,8 +46,8 @@
 
 
 class DamagedLogError(CranklaneError):
-    """A log file is damaged before its end: records would be lost if it were used."""
+    """A log file is corrupted before its end; using it would lose entries."""
 
 
 class InvariantError(CranklaneError):
-    """An invariant is broken; the process stops."""
+    """An invariant is violated; the process stops."""
--- a/src/cranklane/outcome.py
+++ b/src/cranklane/outcome.py
@@ -1,4 +1,4 @@
-"""The typed values every call ends with."""
+"""Outcomes and reasons of calls, and the route properties that affect them."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class Outcome(IntEnum):
-    """What is known of a call when it ends."""
+    """Final result of a call."""
 
     ANSWERED = 0
-    """A worker answered; its answer is passed on whole."""
+    """A worker responded, and its complete response is passed on."""
     NOT_RUN = 1
-    """No worker started any work for this call, in any attempt."""
+    """No worker started the call in any attempt."""
     UNKNOWN = 2
-    """A worker may have started work, and its answer is not known."""
+    """A worker may have started the call, and its response is unknown."""
 
     @property
     def label(self) -> str:
-        """Lower-case name used in headers and metrics.
+        """Name used in headers and metrics.
 
         >>> Outcome.NOT_RUN.label
         'not_run'
@@ -27,7 +27,7 @@
 
 
 class Criticality(IntEnum):
-    """Order in which calls are kept under overload; the highest is refused last."""
+    """Order of refusal under overload: the lowest criticality is refused first."""
 
     BACKGROUND = 0
     LOW = 1
@@ -36,18 +36,18 @@
 
 
 class Repeat(IntEnum):
-    """Whether a route's work may run again after an attempt of unknown outcome."""
+    """Whether a call may be retried after an attempt with unknown outcome."""
 
     UNREPEATABLE = 0
-    """Retried only after an attempt that is known not to have run."""
+    """Retried only if the previous attempt did not run."""
     REPEATABLE = 1
-    """May run any number of times."""
+    """May run several times."""
     ONCE = 2
-    """Runs at most once for an idempotency key; guarded by the ledger."""
+    """Runs at most once per idempotency key, enforced by the ledger."""
 
 
 class Reason(IntEnum):
-    """Why a call was refused or failed; counted, and reported to the caller."""
+    """Why a call was refused or failed; reported in headers, logs and metrics."""
 
     NONE = 0
     QUEUE_FULL = 1
@@ -79,24 +79,24 @@
     TOO_DEEP = 27
     NO_CONFIGURATION = 28
     TABLE_STALE = 29
-    """Whether the route table in force is still the newest is not known."""
+    """The route table in force may be outdated."""
     QUOTA_EXCEEDED = 30
     CALL_UNTIED = 31
-    """The call is uncorrelated: the run that makes it is not known here."""
+    """The call cannot be correlated with a run of the local worker."""
     WORKER_ENDED = 32
-    """The worker's process crashed while it ran this request, which may be the cause."""
+    """The worker crashed while running this request, possibly because of it."""
     WORKER_LEFT = 33
-    """The worker's process ended while it ran this request, after it had announced its stop."""
+    """The worker announced its stop and exited while running this request."""
     QUARANTINED = 34
-    """Workers that ran this very request before have crashed; it is refused for a while."""
+    """The request is in quarantine because workers that ran it have crashed."""
     SUSPECTED = 35
-    """It may have crashed a worker: only the gate that runs it isolated may run it."""
+    """The request may have crashed a worker and may run only in isolation."""
     RUN_ALONE = 36
-    """The same request is running isolated, to see whether it crashes its worker."""
+    """The same request is running in isolation to test whether it crashes its worker."""
 
     @property
     def label(self) -> str:
-        """Lower-case name used in headers and metrics."""
+        """Name used in headers and metrics."""
         return self.name.lower()
 
 
@@ -119,7 +119,7 @@
 
 
 def status_of(outcome: Outcome, reason: Reason) -> int:
-    """Return the HTTP status for a caller whose call got no answer of a worker.
+    """Return the HTTP status for a call without a worker's response.
 
     >>> status_of(Outcome.NOT_RUN, Reason.QUEUE_FULL)
     503
--- a/src/cranklane/settings.py
+++ b/src/cranklane/settings.py
@@ -1,8 +1,7 @@
-"""Process settings: a TOML file with flags over it, checked as a whole.
+"""Loads process settings from a TOML file and command-line flags.
 
-A settings class is a dataclass whose fields carry a check through
-:func:`setting`. Each problem names the source, the key, what was found and what
-was expected; all problems are reported at once.
+A settings class is a dataclass with fields declared by :func:`setting`. All problems are
+reported at once, each with source, key, found value and expected value.
 """
 
 from __future__ import annotations
@@ -22,11 +21,11 @@
 
 
 class Check(NamedTuple):
-    """A test of one value.
+    """Validation of a setting's value.
 
-    :ivar expected: what a valid value is, in words.
+    :ivar expected: description of a valid value.
     :ivar accepts: returns whether a value is valid.
-    :ivar parse: turns a flag's text into a value.
+    :ivar parse: converts the text of a flag to a value; raises ValueError if it is invalid.
     """
 
     expected: str
@@ -86,7 +85,7 @@
 
 
 def seconds(minimum: float, maximum: float) -> Check:
-    """Return the check of a time in seconds between two bounds."""
+    """Return a check for a number of seconds within inclusive bounds."""
     return Check(
         f"seconds from {minimum:g} to {maximum:g}",
         lambda value: (
@@ -99,7 +98,7 @@
 
 
 def whole_number(minimum: int, maximum: int) -> Check:
-    """Return the check of a whole number between two bounds."""
+    """Return a check for an integer within inclusive bounds."""
     return Check(
         f"a whole number from {minimum} to {maximum}",
         lambda value: (
@@ -110,7 +109,10 @@
 
 
 def setting(check: Check, default: Any = MISSING, help: str = "") -> Any:  # noqa: A002
-    """Declare one field of a settings class."""
+    """Declare a field of a settings class; a field without a default is required.
+
+    :param help: help text of the command-line flag.
+    """
     metadata = {"check": check, "help": help}
     if default is MISSING:
         return field(metadata=metadata)
@@ -135,35 +137,35 @@
 def load(
     kind: type[_Settings], path: str | None = None, flags: Mapping[str, str | None] | None = None
 ) -> _Settings:
-    """Return checked settings from a file and flags; a flag overrides the file.
+    """Load and check settings; a flag overrides the file.
 
-    :param kind: the settings class.
-    :param path: a TOML file, or None.
-    :param flags: text given for a key on the command line; None is not given.
-    :raises SettingsError: naming every invalid, missing and unknown key.
+    :param kind: settings class.
+    :param path: path of a TOML file, or None.
+    :param flags: text of each flag by key; None for a flag that is not set.
+    :raises SettingsError: with all invalid, missing and unknown keys.
     """
-    declared = {item.name: item for item in fields(kind)}  # type: ignore[arg-type]
+    declared_fields = {declared.name: declared for declared in fields(kind)}  # type: ignore[arg-type]
     problems: list[str] = []
     values: dict[str, Any] = {}
     for key, value in (_read_file(path) if path else {}).items():
-        if key in declared:
-            _take(declared[key], key, value, path or "", values, problems)
+        if key in declared_fields:
+            _add_value(declared_fields[key], key, value, path or "", values, problems)
         else:
-            known = ", ".join(sorted(declared))
-            problems.append(f"{path}: {key}: unknown key; known keys are {known}")
+            known_keys = ", ".join(sorted(declared_fields))
+            problems.append(f"{path}: {key}: unknown key; known keys are {known_keys}")
     for key, text in (flags or {}).items():
         if text is not None:
-            _take_flag(declared[key], key, text, values, problems)
-    for key, item in declared.items():
-        if key not in values and _is_required(item):
-            expected = item.metadata["check"].expected
+            _add_flag_value(declared_fields[key], key, text, values, problems)
+    for key, declared in declared_fields.items():
+        if key not in values and _is_required(declared):
+            expected = declared.metadata["check"].expected
             problems.append(f"{path or 'flags'}: {key}: missing; expected {expected}")
     if problems:
         raise SettingsError(problems)
     return kind(**values)
 
 
-def _take(
+def _add_value(
     declared: Field[Any],
     key: str,
     value: Any,
@@ -177,7 +179,7 @@
         problems.append(f"{source}: {key}: found {value!r}; expected {check.expected}")
 
 
-def _take_flag(
+def _add_flag_value(
     declared: Field[Any], key: str, text: str, values: dict[str, Any], problems: list[str]
 ) -> None:
     check: Check = declared.metadata["check"]
@@ -188,4 +190,4 @@
         problems.append(f"{source}: found {text!r}; expected {check.expected}")
         values[key] = text
         return
-    _take(declared, key, value, source, values, problems)
+    _add_value(declared, key, value, source, values, problems)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Process settings: every wrong key is named at once, and flags go first."""
+"""Loading of settings: errors for all invalid keys at once, and precedence of flags."""
 
 import pytest
 
@@ -14,7 +14,7 @@
     return str(path)
 
 
-GOOD = """
+VALID_SETTINGS = """
 name = "n1"
 zone = "a"
 controls = ["127.0.0.1:7000"]
@@ -23,12 +23,14 @@
 """
 
 
-def test_flags_go_before_the_file(tmp_path):
-    settings = load(NodeSettings, write(tmp_path, GOOD), {"zone": "b", "stop_seconds": "5"})
+def test_flags_override_the_file(tmp_path):
+    settings = load(
+        NodeSettings, write(tmp_path, VALID_SETTINGS), {"zone": "b", "stop_seconds": "5"}
+    )
     assert (settings.name, settings.zone, settings.stop_seconds) == ("n1", "b", 5.0)
 
 
-def test_all_problems_are_named_with_file_key_found_and_expected(tmp_path):
+def test_all_problems_are_reported_with_source_key_and_expectation(tmp_path):
     path = write(tmp_path, 'name = "N 1"\nzone = "a"\nhttp = 7\nspeed = 1\nstop_seconds = -1\n')
     with pytest.raises(SettingsError) as error:
         load(NodeSettings, path, {"listen": "nowhere"})
@@ -42,14 +44,14 @@
     assert any("data: missing" in line for line in problems)
 
 
-def test_a_file_that_is_no_toml_is_refused(tmp_path):
+def test_missing_and_malformed_files_are_rejected(tmp_path):
     with pytest.raises(SettingsError, match="is not TOML"):
         load(NodeSettings, write(tmp_path, "name ="))
     with pytest.raises(SettingsError, match="cannot be read"):
         load(NodeSettings, str(tmp_path / "missing.toml"))
 
 
-def test_operators_are_checked():
+def test_operators_are_validated():
     flags = {"name": "c", "zone": "a", "listen": "127.0.0.1:1", "http": "127.0.0.1:2"}
     with pytest.raises(SettingsError, match="name:scope:sha256"):
         load(ControlSettings, None, {**flags, "data": "d", "operators": "me:*:short"})
