--- a/src/cranklane/cli/client.py
+++ b/src/cranklane/cli/client.py
@@ -14,7 +14,7 @@
 from result import Err, Ok, Result
 
 from cranklane.common.http_client import HttpClient, HttpRequestError
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.runtime.interface import parse_address
 from cranklane.runtime.real import RealRuntime
 
@@ -87,7 +87,7 @@
         try:
             response = client.request(method, path, headers, body, TIMEOUT_SECONDS)
             answer = json.loads(response.read() or b"{}")
-        except (HttpRequestError, AnswerCutError, ValueError) as error:
+        except (HttpRequestError, TruncatedAnswerError, ValueError) as error:
             return Err(OperatorProblem(0, [f"{control}: {error}"]))
         finally:
             client.close()
--- a/src/cranklane/common/http_client.py
+++ b/src/cranklane/common/http_client.py
@@ -12,7 +12,7 @@
 from geventhttpclient.connectionpool import ConnectionPool
 from geventhttpclient.response import HTTPParseError, HTTPSocketPoolResponse
 
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.runtime.interface import Address, Runtime, format_address
 
 CONNECT_SECONDS = 1.0
@@ -65,15 +65,17 @@
         try:
             while not self._body_buffer and not self.message_complete:
                 if self._sock is None:
-                    raise AnswerCutError("the connection is closed")
+                    raise TruncatedAnswerError("the connection is closed")
                 data = self._sock.recv(READ_SIZE)
                 if not data:
-                    raise AnswerCutError("the connection ended before the end of the response")
+                    raise TruncatedAnswerError(
+                        "the connection ended before the end of the response"
+                    )
                 self.feed(data)
         except _PARSER_ERRORS as error:
             self.release()
-            raise AnswerCutError(str(error)) from error
-        except AnswerCutError:
+            raise TruncatedAnswerError(str(error)) from error
+        except TruncatedAnswerError:
             self.release()
             raise
         body = bytes(self._body_buffer)
@@ -103,7 +105,7 @@
     def body(self) -> Iterator[bytes]:
         """Yield the body as it is received.
 
-        :raises AnswerCutError: if the connection ends before the body does.
+        :raises TruncatedAnswerError: if the connection ends before the body does.
         """
         while data := self._response.read_available():
             yield data
@@ -111,7 +113,7 @@
     def read(self) -> bytes:
         """Return the complete body.
 
-        :raises AnswerCutError: if the connection ends before the body does.
+        :raises TruncatedAnswerError: if the connection ends before the body does.
         """
         return b"".join(self.body())
 
--- a/src/cranklane/common/http_server.py
+++ b/src/cranklane/common/http_server.py
@@ -9,7 +9,7 @@
 from gevent.pywsgi import WSGIHandler, WSGIServer, format_date_time
 
 from cranklane.common.request_headers import RequestHeaders
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.runtime.interface import Address, Listener, Runtime
 
 CONNECTION_KEY = "cranklane.connection"
@@ -60,7 +60,7 @@
         super().finalize_headers()
 
     def handle_error(self, kind: Any, value: Any, trace: Any) -> None:
-        if isinstance(value, AnswerCutError | OSError):
+        if isinstance(value, TruncatedAnswerError | OSError):
             # The missing last chunk, or a body shorter than its Content-Length, shows
             # the caller that the response is truncated.
             self.close_connection = True
--- a/src/cranklane/errors.py
+++ b/src/cranklane/errors.py
@@ -19,7 +19,7 @@
     """The connection to a peer ended, failed or timed out."""
 
 
-class AnswerCutError(CranklaneError):
+class TruncatedAnswerError(CranklaneError):
     """A response ended before its last byte; it must not be passed on as complete."""
 
 
--- a/src/cranklane/node/answer.py
+++ b/src/cranklane/node/answer.py
@@ -62,7 +62,7 @@
 class Answer:
     """How a call ended.
 
-    :ivar body: pieces of the body; raises AnswerCutError when it is not whole.
+    :ivar body: pieces of the body; raises TruncatedAnswerError when it is not whole.
         To be read to its end or closed.
     :ivar retry_after_ms: milliseconds after which a refused call may be retried; 0 states none.
     :ivar attempts: attempts made, the first included.
--- a/src/cranklane/node/answer_stream.py
+++ b/src/cranklane/node/answer_stream.py
@@ -11,7 +11,7 @@
 
 from cranklane.common.headers import HOP_BY_HOP, is_own
 from cranklane.common.http_client import HttpResponse
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.node.inbound_call import InboundCall
 from cranklane.node.metrics import NodeMetrics
 from cranklane.outcome import Reason
@@ -65,7 +65,7 @@
             sequence += 1
             length += len(data)
             checksum = zlib.crc32(data, checksum)
-    except AnswerCutError:
+    except TruncatedAnswerError:
         metrics.event("answer_cut")
         call.send(AnswerAbort(Reason.ANSWER_CUT, call.context.allowance.remaining))
         return
--- a/src/cranklane/node/call_runner.py
+++ b/src/cranklane/node/call_runner.py
@@ -14,7 +14,7 @@
 from result import Err, Ok, Result
 
 from cranklane.common.http_client import HttpResponse
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.ledger.store import MAX_STORED_BODY
 from cranklane.node import retry_after
 from cranklane.node.admission import Admission, Refusal, Slot
@@ -176,7 +176,7 @@
                     break
             else:
                 ticket.finish(Outcome.ANSWERED, head.status, head.headers, b"".join(pieces))
-        except AnswerCutError:
+        except TruncatedAnswerError:
             self._metrics.event("answer_cut")
             self._refuse(call, Outcome.UNKNOWN, Refusal(Reason.ANSWER_CUT))
             return
--- a/src/cranklane/node/caller_answer.py
+++ b/src/cranklane/node/caller_answer.py
@@ -11,7 +11,7 @@
 
 from cranklane.common import headers
 from cranklane.common.headers import retry_after_seconds
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.node.answer import Answer
 from cranklane.outcome import Outcome, Reason, status_of
 
@@ -53,7 +53,7 @@
 def _write_whole(response: falcon.Response, answer: Answer, body: _Body) -> None:
     try:
         data = b"".join(body)
-    except AnswerCutError:
+    except TruncatedAnswerError:
         write_refusal(response, Answer(Outcome.UNKNOWN, Reason.ANSWER_CUT))
         return
     finally:
--- a/src/cranklane/node/inbound_call.py
+++ b/src/cranklane/node/inbound_call.py
@@ -7,7 +7,7 @@
 
 from gevent.event import Event
 
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.node.context import CallContext
 from cranklane.outcome import Reason
 from cranklane.records.connection import RecordConnection
@@ -66,12 +66,12 @@
     def wait_for_window(self, size: int) -> None:
         """Wait until the caller can take ``size`` bytes, and take them off the window.
 
-        :raises AnswerCutError: when it takes none for too long, or is gone.
+        :raises TruncatedAnswerError: when it takes none for too long, or is gone.
         """
         while self._window <= 0:
             self._credited.clear()
             if not self._credited.wait(CREDIT_SECONDS):
-                raise AnswerCutError("the caller takes no more bytes")
+                raise TruncatedAnswerError("the caller takes no more bytes")
             if self._gone:
-                raise AnswerCutError("cancelled")
+                raise TruncatedAnswerError("cancelled")
         self._window -= size
--- a/src/cranklane/node/peer_call.py
+++ b/src/cranklane/node/peer_call.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent.queue import SimpleQueue
 
-from cranklane.errors import AnswerCutError, ConnectionLostError
+from cranklane.errors import ConnectionLostError, TruncatedAnswerError
 from cranklane.outcome import Reason
 from cranklane.records.messages import (
     AnswerAbort,
@@ -101,7 +101,7 @@
         """Yield the answer's body, checking that it is whole and in order.
 
         :param stall_timeout: seconds without any piece after which it counts as cut.
-        :raises AnswerCutError: when the answer is not whole.
+        :raises TruncatedAnswerError: when the answer is not whole.
         """
         sequence = length = checksum = uncredited = 0
         while True:
@@ -109,14 +109,16 @@
             if isinstance(item, AnswerEnd):
                 self._finish(item.allowance)
                 if (item.length, item.checksum) != (length, checksum):
-                    raise AnswerCutError("the body does not match its length and checksum")
+                    raise TruncatedAnswerError("the body does not match its length and checksum")
                 return
             if isinstance(item, AnswerAbort):
                 self._finish(item.allowance)
-                raise AnswerCutError(Reason(item.reason).label)
+                raise TruncatedAnswerError(Reason(item.reason).label)
             if not isinstance(item, AnswerBody) or item.sequence != sequence:
                 self.cancel(Reason.ANSWER_CUT)
-                raise AnswerCutError("pieces of the body are missing, doubled or out of order")
+                raise TruncatedAnswerError(
+                    "pieces of the body are missing, doubled or out of order"
+                )
             sequence += 1
             length += len(item.data)
             checksum = zlib.crc32(item.data, checksum)
@@ -132,9 +134,9 @@
                 item = self._inbox.get()
         except gevent.Timeout as error:
             self.cancel(Reason.ANSWER_CUT)
-            raise AnswerCutError("no piece of the body came in time") from error
+            raise TruncatedAnswerError("no piece of the body came in time") from error
         if isinstance(item, Exception):
-            raise AnswerCutError(str(item)) from item
+            raise TruncatedAnswerError(str(item)) from item
         return item
 
     def _finish(self, allowance: int) -> None:
--- a/src/cranklane/sidecar/admission/streamed_answer.py
+++ b/src/cranklane/sidecar/admission/streamed_answer.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterator
 
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 
 
 class StreamedAnswer:
@@ -15,7 +15,7 @@
 
     Not a generator: one that was never started would give nothing back when closed.
 
-    :param pieces: reads the pieces; raises AnswerCutError when they end too early.
+    :param pieces: reads the pieces; raises TruncatedAnswerError when they end too early.
     :param on_end: called once, at the end, at a failure or by :meth:`close`.
     :param on_cut: called when the answer ends too early, before ``on_end``.
     :param on_whole: called when its last piece was read, before ``on_end``.
@@ -45,7 +45,7 @@
             self._on_whole()
             self.close()
             raise
-        except AnswerCutError:
+        except TruncatedAnswerError:
             self._on_cut()
             self.close()
             raise
--- a/src/cranklane/sidecar/ingress/answer_writer.py
+++ b/src/cranklane/sidecar/ingress/answer_writer.py
@@ -12,7 +12,7 @@
 from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import Framing
 from cranklane.common.http1.writer import LAST_CHUNK, chunk, framing_line, status_line
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.outcome import status_of
 from cranklane.runtime.interface import Runtime
 from cranklane.sidecar.admission import retry_after
@@ -73,11 +73,11 @@
             connection.send(start)
             for piece in pieces:
                 if self._runtime.monotonic() > deadline:
-                    raise AnswerCutError("its time is over")
+                    raise TruncatedAnswerError("its time is over")
                 connection.send(chunk(piece) if in_chunks else piece)
             if in_chunks:
                 connection.send(LAST_CHUNK)
-        except AnswerCutError:
+        except TruncatedAnswerError:
             # The caller sees by the framing that the answer is not whole.
             return False
         finally:
--- a/src/cranklane/sidecar/request/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -80,7 +80,7 @@
         capacity.
     :ivar failure: the call that failed, where the run failed because of one.
     :ivar downstream_cost: slot time of the run's calls; None: nothing is known.
-    :ivar rest: the further pieces; raises AnswerCutError when they end too early.
+    :ivar rest: the further pieces; raises TruncatedAnswerError when they end too early.
     """
 
     outcome: Outcome
--- a/src/cranklane/sidecar/routing/peer_client.py
+++ b/src/cranklane/sidecar/routing/peer_client.py
@@ -11,7 +11,7 @@
 
 from cranklane.common.http1.message import MalformedMessageError, MessageCutError
 from cranklane.common.units import MILLISECONDS
-from cranklane.errors import AnswerCutError, ConnectionLostError, MalformedRecordError
+from cranklane.errors import ConnectionLostError, MalformedRecordError, TruncatedAnswerError
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import (
@@ -139,14 +139,14 @@
             while True:
                 _, message = records.receive()
                 if not isinstance(message, ForwardBody):
-                    raise AnswerCutError("the answer was cut at the worker")
+                    raise TruncatedAnswerError("the answer was cut at the worker")
                 if message.data:
                     yield message.data
                 if message.last:
                     whole = True
                     return
         except (ConnectionLostError, MalformedRecordError) as error:
-            raise AnswerCutError(str(error)) from error
+            raise TruncatedAnswerError(str(error)) from error
         finally:
             if whole:
                 self._keep(address, connection)
--- a/src/cranklane/sidecar/routing/peer_server.py
+++ b/src/cranklane/sidecar/routing/peer_server.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cranklane.errors import AnswerCutError, ConnectionLostError, MalformedRecordError
+from cranklane.errors import ConnectionLostError, MalformedRecordError, TruncatedAnswerError
 from cranklane.outcome import Outcome
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import (
@@ -121,7 +121,7 @@
             for piece in reply.rest:
                 records.send(ForwardBody(False, piece))
             last = ForwardBody(True, b"")
-        except AnswerCutError:
+        except TruncatedAnswerError:
             # The other side reports the cut.
             last = ForwardCut()
         finally:
--- a/src/cranklane/sidecar/worker/exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -18,7 +18,7 @@
 )
 from cranklane.common.http1.writer import LAST_CHUNK, chunk, end_to_end, header_lines
 from cranklane.common.units import MILLISECONDS
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.runtime.interface import Runtime
@@ -230,7 +230,7 @@
                     return
                 yield piece
         except (OSError, MessageCutError, MalformedMessageError) as error:
-            raise AnswerCutError(str(error)) from error
+            raise TruncatedAnswerError(str(error)) from error
         finally:
             if whole:
                 self._end(head, connection, sender)
--- a/src/cranklane_lab/standins/client.py
+++ b/src/cranklane_lab/standins/client.py
@@ -6,7 +6,7 @@
 
 from cranklane.common import headers as header_names
 from cranklane.common.http_client import HttpClient, HttpRequestError, HttpResponse
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.runtime.interface import Address, Runtime
 from cranklane_lab.deployments import RequestKind
 from cranklane_lab.standins.content import wrong_with
@@ -68,8 +68,8 @@
         try:
             response = self._http.request(kind.method, path, headers, timeout=CLIENT_SECONDS)
             body = response.read()
-        except (HttpRequestError, AnswerCutError) as error:
-            outcome = "cut" if isinstance(error, AnswerCutError) else "lost"
+        except (HttpRequestError, TruncatedAnswerError) as error:
+            outcome = "cut" if isinstance(error, TruncatedAnswerError) else "lost"
             return ClientResult(
                 kind.name, nonce, key, outcome, 0, str(error), "", self._since(started)
             )
--- a/src/cranklane_lab/standins/operator.py
+++ b/src/cranklane_lab/standins/operator.py
@@ -9,7 +9,7 @@
 import gevent
 
 from cranklane.common.http_client import HttpClient, HttpRequestError
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.runtime.interface import Address, Runtime
 
 OPERATOR_TOKEN = "lab-operator"
@@ -60,7 +60,7 @@
         try:
             response = http.request(method, path, headers, body, _TIMEOUT_SECONDS)
             return OperatorAnswer(response.status, json.loads(response.read()))
-        except (HttpRequestError, AnswerCutError, ValueError):
+        except (HttpRequestError, TruncatedAnswerError, ValueError):
             return OperatorAnswer(0)
         finally:
             http.close()
--- a/src/cranklane_lab/standins/worker.py
+++ b/src/cranklane_lab/standins/worker.py
@@ -16,7 +16,7 @@
 from cranklane.common import headers as header_names
 from cranklane.common.http_client import HttpClient, HttpRequestError, HttpResponse
 from cranklane.common.http_server import CONNECTION_KEY, HttpServer
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.outcome import Outcome
 from cranklane.runtime.interface import Address, Runtime
 from cranklane_lab.deployments import ServicePlan, Work
@@ -212,6 +212,6 @@
             response = self._request_again_when_stale(target, headers)
             for _ in response.body():
                 pass
-        except (HttpRequestError, AnswerCutError):
+        except (HttpRequestError, TruncatedAnswerError):
             return False
         return response.status < 300
