--- a/src/cranklane/common/http1/message.py
+++ b/src/cranklane/common/http1/message.py
@@ -26,7 +26,7 @@
     """A message head exceeds the size limit."""
 
 
-class MessageCutError(Exception):
+class TruncatedMessageError(Exception):
     """The connection ended before the end of a message."""
 
 
--- a/src/cranklane/common/http1/reader.py
+++ b/src/cranklane/common/http1/reader.py
@@ -20,8 +20,8 @@
     Header,
     HeadTooLargeError,
     MalformedMessageError,
-    MessageCutError,
     RequestHead,
+    TruncatedMessageError,
     framing_of,
 )
 
@@ -132,7 +132,7 @@
                 raise HeadTooLargeError
             if not self._receive():
                 if self.started:
-                    raise MessageCutError
+                    raise TruncatedMessageError
                 return None
         message = self._messages[0]
         if (
@@ -151,7 +151,7 @@
             if self._error:
                 raise MalformedMessageError(self._error)
             if not self._receive():
-                raise MessageCutError
+                raise TruncatedMessageError
         return message.pieces.popleft()
 
     def body_so_far(self) -> tuple[bytes, bool]:
@@ -186,7 +186,7 @@
         :raises TimeoutError: if one of these limits is exceeded.
         :raises MalformedMessageError: if the bytes are not a valid request.
         :raises HeadTooLargeError: if the head exceeds the limit.
-        :raises MessageCutError: if the connection ends within a head.
+        :raises TruncatedMessageError: if the connection ends within a head.
         :raises OSError: if the connection fails.
         """
         self._wait_for_head(idle_seconds, head_seconds, clock)
@@ -222,7 +222,7 @@
         """Return the next piece of the body, empty at its end.
 
         :raises MalformedMessageError: if the body's framing is invalid.
-        :raises MessageCutError: if the connection ends before the body does.
+        :raises TruncatedMessageError: if the connection ends before the body does.
         """
         return self._next_piece()
 
@@ -247,12 +247,12 @@
 
         :param bodiless: whether the response has no body because the request was a HEAD.
         :raises MalformedMessageError: if the bytes are not a valid response.
-        :raises MessageCutError: if the connection ends first.
+        :raises TruncatedMessageError: if the connection ends first.
         """
         while True:
             message = self._next_head()
             if message is None:
-                raise MessageCutError
+                raise TruncatedMessageError
             if message.status >= _FIRST_FINAL_STATUS:
                 break
             self._messages.popleft()
@@ -275,12 +275,12 @@
         A body delimited by the end of the connection is complete only after a clean close.
 
         :raises MalformedMessageError: if the body's framing is invalid.
-        :raises MessageCutError: if the connection ends before the body does.
+        :raises TruncatedMessageError: if the connection ends before the body does.
         :raises OSError: if the connection fails.
         """
         try:
             return self._next_piece()
-        except MessageCutError:
+        except TruncatedMessageError:
             if not self._until_close:
                 raise
             self._messages[0].done = True
--- a/src/cranklane/common/small_http.py
+++ b/src/cranklane/common/small_http.py
@@ -12,7 +12,7 @@
 from cranklane.common.http1.message import (
     HeadTooLargeError,
     MalformedMessageError,
-    MessageCutError,
+    TruncatedMessageError,
 )
 from cranklane.common.http1.reader import RequestReader
 from cranklane.common.http1.writer import status_line
@@ -56,7 +56,7 @@
         try:
             while self._serve(stream, reader):
                 pass
-        except (OSError, MalformedMessageError, MessageCutError, HeadTooLargeError):
+        except (OSError, MalformedMessageError, TruncatedMessageError, HeadTooLargeError):
             # No response: the caller has gone, timed out or did not send valid HTTP.
             pass
         finally:
--- a/src/cranklane/sidecar/ingress/caller_connection.py
+++ b/src/cranklane/sidecar/ingress/caller_connection.py
@@ -12,8 +12,8 @@
 from cranklane.common.http1.message import (
     HeadTooLargeError,
     MalformedMessageError,
-    MessageCutError,
     RequestHead,
+    TruncatedMessageError,
 )
 from cranklane.common.http1.reader import RequestReader
 from cranklane.routes.table import RouteTable
@@ -57,7 +57,7 @@
         :param kept_bytes: after so many no further piece is read.
         :raises HeadTooLargeError: when more than ``max_bytes`` came, also later on.
         :raises MalformedMessageError: when its framing is broken.
-        :raises MessageCutError: when the connection ends before it does.
+        :raises TruncatedMessageError: when the connection ends before it does.
         """
         self._bytes_allowed = max_bytes
         self.body, self.body_whole = self.reader.body_so_far()
@@ -82,7 +82,7 @@
         """Read a small body that nobody wants; return whether that was all of it."""
         try:
             self.read_body(SMALL_BODY_BYTES, SMALL_BODY_BYTES)
-        except (HeadTooLargeError, MalformedMessageError, MessageCutError, OSError):
+        except (HeadTooLargeError, MalformedMessageError, TruncatedMessageError, OSError):
             # Its answer is known already; only the connection is of no further use.
             return False
         return self.body_whole
--- a/src/cranklane/sidecar/ingress/caller_request.py
+++ b/src/cranklane/sidecar/ingress/caller_request.py
@@ -13,8 +13,8 @@
     Framing,
     HeadTooLargeError,
     MalformedMessageError,
-    MessageCutError,
     RequestHead,
+    TruncatedMessageError,
 )
 from cranklane.common.units import MILLISECONDS
 from cranklane.routes.table import Limits, RouteTable
@@ -65,7 +65,7 @@
         raise UnreadableRequestError(HTTPStatus.REQUEST_HEADER_FIELDS_TOO_LARGE) from error
     except MalformedMessageError as error:
         raise UnreadableRequestError(HTTPStatus.BAD_REQUEST) from error
-    except MessageCutError:
+    except TruncatedMessageError:
         # The caller closed the connection within a head: nobody reads an answer.
         return None
     except TimeoutError as error:
@@ -94,5 +94,5 @@
         raise UnreadableRequestError(HTTPStatus.BAD_REQUEST) from error
     except TimeoutError as error:
         raise UnreadableRequestError(HTTPStatus.REQUEST_TIMEOUT) from error
-    except MessageCutError as error:
+    except TruncatedMessageError as error:
         raise UnreadableRequestError(None) from error
--- a/src/cranklane/sidecar/routing/peer_client.py
+++ b/src/cranklane/sidecar/routing/peer_client.py
@@ -9,7 +9,7 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-from cranklane.common.http1.message import MalformedMessageError, MessageCutError
+from cranklane.common.http1.message import MalformedMessageError, TruncatedMessageError
 from cranklane.common.units import MILLISECONDS
 from cranklane.errors import ConnectionLostError, MalformedRecordError, TruncatedAnswerError
 from cranklane.outcome import Outcome, Reason
@@ -209,7 +209,7 @@
             records.send(ForwardBody(not piece, piece))
             if not piece:
                 return
-    except (OSError, MessageCutError, MalformedMessageError):
+    except (OSError, TruncatedMessageError, MalformedMessageError):
         # The caller's body ended too early; nothing may take it for whole.
         records.close()
     except ConnectionLostError:
--- a/src/cranklane/sidecar/worker/body_sender.py
+++ b/src/cranklane/sidecar/worker/body_sender.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from cranklane.common.http1.message import Framing, MalformedMessageError, MessageCutError
+from cranklane.common.http1.message import Framing, MalformedMessageError, TruncatedMessageError
 from cranklane.common.http1.writer import LAST_CHUNK, chunk
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.sidecar.request.attempt import Attempt
@@ -10,7 +10,7 @@
 
 _BODY_ERRORS = (
     OSError,
-    MessageCutError,
+    TruncatedMessageError,
     MalformedMessageError,
     ConnectionLostError,
     MalformedRecordError,
--- a/src/cranklane/sidecar/worker/exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -14,7 +14,7 @@
     AnswerHead,
     Framing,
     MalformedMessageError,
-    MessageCutError,
+    TruncatedMessageError,
 )
 from cranklane.common.http1.writer import LAST_CHUNK, chunk, end_to_end, header_lines
 from cranklane.common.units import MILLISECONDS
@@ -88,7 +88,7 @@
         except TimeoutError:
             connection.close()
             return unknown(Reason.DEADLINE_PASSED)
-        except (OSError, MessageCutError):
+        except (OSError, TruncatedMessageError):
             connection.close()
             return unknown(Reason.CANCELLED if attempt.cancelled else Reason.WORKER_FAILED)
         except (MalformedMessageError, ValueError):
@@ -180,7 +180,7 @@
                 pass
             connection.reader.finish()
             self._keep(head, connection)
-        except (OSError, MessageCutError, MalformedMessageError):
+        except (OSError, TruncatedMessageError, MalformedMessageError):
             # The refusal is known; only its body is not, and with it the connection's state.
             connection.close()
         if misdirected and other is not None:
@@ -229,7 +229,7 @@
                     whole = True
                     return
                 yield piece
-        except (OSError, MessageCutError, MalformedMessageError) as error:
+        except (OSError, TruncatedMessageError, MalformedMessageError) as error:
             raise TruncatedAnswerError(str(error)) from error
         finally:
             if whole:
--- a/src/cranklane/sidecar/worker/probe.py
+++ b/src/cranklane/sidecar/worker/probe.py
@@ -11,7 +11,7 @@
 import gevent
 
 from cranklane.common.header_names import HeaderNames
-from cranklane.common.http1.message import AnswerHead, MalformedMessageError, MessageCutError
+from cranklane.common.http1.message import AnswerHead, MalformedMessageError, TruncatedMessageError
 from cranklane.common.http1.reader import AnswerReader
 from cranklane.runtime.interface import Address, Runtime, format_address
 from cranklane.sidecar.worker.pool import MAX_HEAD_BYTES
@@ -75,7 +75,7 @@
             stream.settimeout(PROBE_SECONDS)
             stream.sendall(request.encode("latin-1") + b"Connection: close\r\n\r\n")
             return AnswerReader(stream, MAX_HEAD_BYTES).next_head()
-        except (OSError, MalformedMessageError, MessageCutError):
+        except (OSError, MalformedMessageError, TruncatedMessageError):
             # As good as no answer.
             return None
         finally:
--- a/src/cranklane_lab/standins/raw_http.py
+++ b/src/cranklane_lab/standins/raw_http.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from cranklane.common.http1.message import MalformedMessageError, MessageCutError
+from cranklane.common.http1.message import MalformedMessageError, TruncatedMessageError
 from cranklane.common.http1.reader import AnswerReader
 from cranklane.runtime.interface import Address, Runtime
 
@@ -43,7 +43,7 @@
         """Return the next answer; None when the connection ends without one."""
         try:
             head = self._reader.next_head(bodiless)
-        except (OSError, MessageCutError, MalformedMessageError):
+        except (OSError, TruncatedMessageError, MalformedMessageError):
             return None
         answer = RawAnswer(
             head.status,
@@ -53,7 +53,7 @@
         try:
             while piece := self._reader.next_piece():
                 answer.body += piece
-        except (OSError, MessageCutError, MalformedMessageError):
+        except (OSError, TruncatedMessageError, MalformedMessageError):
             answer.whole = False
             return answer
         self._reader.finish()
--- a/src/cranklane_lab/standins/routed_worker.py
+++ b/src/cranklane_lab/standins/routed_worker.py
@@ -14,7 +14,7 @@
 import gevent
 
 from cranklane.common.header_names import HeaderNames
-from cranklane.common.http1.message import MalformedMessageError, MessageCutError, RequestHead
+from cranklane.common.http1.message import MalformedMessageError, RequestHead, TruncatedMessageError
 from cranklane.common.http1.reader import RequestReader
 from cranklane.common.http1.writer import status_line
 from cranklane.runtime.interface import Address, Runtime
@@ -187,7 +187,7 @@
                 head = reader.next_head(30.0, 5.0, self._runtime.monotonic)
                 if head is None or not self._serve(stream, reader, head):
                     return
-        except (OSError, MalformedMessageError, MessageCutError):
+        except (OSError, MalformedMessageError, TruncatedMessageError):
             # The sidecar has left; its own checks judge what it sent.
             pass
         finally:
--- a/tests/test_sidecar_rules.py
+++ b/tests/test_sidecar_rules.py
@@ -10,8 +10,8 @@
     Framing,
     HeadTooLargeError,
     MalformedMessageError,
-    MessageCutError,
     RequestHead,
+    TruncatedMessageError,
 )
 from cranklane.outcome import Outcome, Reason
 from cranklane.routes.table import Limits
@@ -193,7 +193,7 @@
     assert raised.value.status == status
 
 
-@pytest.mark.parametrize("error", [TimeoutError(), MessageCutError(), None])
+@pytest.mark.parametrize("error", [TimeoutError(), TruncatedMessageError(), None])
 def test_a_caller_that_sent_no_request_gets_no_answer(error):
     assert read_head(connection_that(head=error), Limits()) is None
 
@@ -209,7 +209,7 @@
         (HeadTooLargeError(), 413),
         (MalformedMessageError(), 400),
         (TimeoutError(), 408),
-        (MessageCutError(), None),
+        (TruncatedMessageError(), None),
     ],
 )
 def test_a_body_that_cannot_be_read_is_answered_while_its_caller_is_there(error, status):
