--- a/src/cranklane/cli/control.py
+++ b/src/cranklane/cli/control.py
@@ -11,7 +11,7 @@
 
 from cranklane.cli.common import Control, Token, call, fail
 from cranklane.control import backup
-from cranklane.errors import DamagedLogError
+from cranklane.errors import CorruptedLogError
 from cranklane.runtime.real import FileStorage
 
 control_commands = typer.Typer(no_args_is_help=True, help="Replicas of control and back-ups.")
@@ -93,7 +93,7 @@
     """Put a back-up into an empty data folder; start its process as the founder."""
     try:
         restored = backup.restore(FileStorage(data), path.read_bytes())
-    except (OSError, DamagedLogError) as error:
+    except (OSError, CorruptedLogError) as error:
         raise fail([f"{path}: {error}"]) from error
     typer.echo(f"{data}: holds the state after entry {restored.index}; start it with --founder yes")
 
@@ -120,7 +120,7 @@
         if path.is_dir():
             return backup.inspect_folder(FileStorage(path))
         return backup.inspect_backup(path.read_bytes())
-    except (OSError, DamagedLogError) as error:
+    except (OSError, CorruptedLogError) as error:
         raise fail([f"{path}: {error}"]) from error
 
 
--- a/src/cranklane/cli/daemon.py
+++ b/src/cranklane/cli/daemon.py
@@ -19,7 +19,7 @@
 from gevent.event import Event
 
 from cranklane.common.logs import configure_logs, logger
-from cranklane.errors import DamagedLogError, InvariantError, SettingsError
+from cranklane.errors import CorruptedLogError, InvariantError, SettingsError
 from cranklane.runtime.real import RealRuntime
 from cranklane.settings import load
 
@@ -129,7 +129,7 @@
     """Start a daemon; return the exit status when it cannot start."""
     try:
         process.start()
-    except DamagedLogError as error:
+    except CorruptedLogError as error:
         print(f"{settings.data}: {error}", file=sys.stderr)
         return EXIT_DAMAGED
     except OSError as error:
--- a/src/cranklane/control/backup.py
+++ b/src/cranklane/control/backup.py
@@ -10,7 +10,7 @@
 from random import Random
 
 from cranklane.common.checksummed import add_checksum, verified_payload
-from cranklane.errors import DamagedLogError, MalformedRecordError
+from cranklane.errors import CorruptedLogError, MalformedRecordError
 from cranklane.records.messages import EditCommand, LogSnapshot, StoreState
 from cranklane.replication.log import SNAPSHOT_FILE, Log
 from cranklane.replication.replica import Replica
@@ -50,23 +50,23 @@
 def read(data: bytes) -> LogSnapshot:
     """Return a back-up's snapshot.
 
-    :raises DamagedLogError: when it is damaged.
+    :raises CorruptedLogError: when it is damaged.
     """
     payload = verified_payload(data)
     if payload is None:
-        raise DamagedLogError("the back-up is damaged: its checksum does not match")
+        raise CorruptedLogError("the back-up is damaged: its checksum does not match")
     try:
         snapshot = LogSnapshot.unpack(payload)
         StoreState.unpack(snapshot.state)
     except MalformedRecordError as error:
-        raise DamagedLogError(f"the back-up is damaged: {error}") from error
+        raise CorruptedLogError(f"the back-up is damaged: {error}") from error
     return snapshot
 
 
 def inspect_backup(data: bytes) -> Inspection:
     """Return what a back-up holds.
 
-    :raises DamagedLogError: when it is damaged.
+    :raises CorruptedLogError: when it is damaged.
     """
     snapshot = read(data)
     return _inspection(snapshot, snapshot.index, [], 0)
@@ -77,14 +77,14 @@
 
     A torn tail is cut, as the process itself would do when it starts.
 
-    :raises DamagedLogError: when it cannot be trusted.
+    :raises CorruptedLogError: when it cannot be trusted.
     """
     log = Log(storage)
     torn = log.open()
     if storage.read(VOTE_FILE) is not None:
         VoteFile(storage).open(Random(), has_log=True)
     elif log.last_index:
-        raise DamagedLogError("the vote file is missing beside a log")
+        raise CorruptedLogError("the vote file is missing beside a log")
     entries = log.between(log.snapshot.index + 1, log.last_index)
     edits = [EditCommand.unpack(entry.data) for entry in entries if entry.kind == EntryKind.COMMAND]
     return _inspection(log.snapshot, log.last_index, edits, torn, len(entries))
@@ -119,7 +119,7 @@
     those that nodes may have from edits after the back-up, so that each node takes
     the whole state in place of its own.
 
-    :raises DamagedLogError: when the back-up is damaged.
+    :raises CorruptedLogError: when the back-up is damaged.
     :raises FileExistsError: when the folder is not empty.
     """
     snapshot = read(data)
--- a/src/cranklane/errors.py
+++ b/src/cranklane/errors.py
@@ -45,7 +45,7 @@
         self.problems = problems
 
 
-class DamagedLogError(CranklaneError):
+class CorruptedLogError(CranklaneError):
     """A log file is corrupted before its end; using it would lose entries."""
 
 
--- a/src/cranklane/replication/log.py
+++ b/src/cranklane/replication/log.py
@@ -10,7 +10,7 @@
 from gevent.lock import Semaphore
 
 from cranklane.common.checksummed import add_checksum, verified_payload
-from cranklane.errors import DamagedLogError
+from cranklane.errors import CorruptedLogError
 from cranklane.records.messages import LogEntry, LogSnapshot
 from cranklane.replication.log_frames import encode_frame, find_later_synced_offset, read_frame
 from cranklane.runtime.interface import Storage
@@ -40,7 +40,7 @@
         """Read snapshot and log, and truncate a torn tail.
 
         :returns: number of bytes truncated.
-        :raises DamagedLogError: when the snapshot or acknowledged entries are corrupted or
+        :raises CorruptedLogError: when the snapshot or acknowledged entries are corrupted or
             entries are missing.
         """
         self._read_snapshot()
@@ -67,7 +67,7 @@
         while self._entries and self._entries[-1].index >= entry.index:
             self._entries.pop()
         if entry.index != self.last_index + 1:
-            raise DamagedLogError(
+            raise CorruptedLogError(
                 f"found entry {entry.index} after entry {self.last_index}; entries are missing; "
                 "restore this replica with an empty data folder so that it rejoins as a new one"
             )
@@ -79,7 +79,7 @@
             return
         payload = verified_payload(data)
         if payload is None:
-            raise DamagedLogError(
+            raise CorruptedLogError(
                 "the snapshot file is corrupted; restore this replica with an empty data folder so "
                 "that it rejoins as a new one, or from a back-up when it is the only one"
             )
@@ -88,10 +88,10 @@
 
     @staticmethod
     def _raise_if_damaged(data: bytes, position: int) -> None:
-        """Raise DamagedLogError unless the invalid frame at ``position`` starts a torn tail."""
+        """Raise CorruptedLogError unless the invalid frame at ``position`` starts a torn tail."""
         synced_offset = find_later_synced_offset(data, position)
         if synced_offset is not None:
-            raise DamagedLogError(
+            raise CorruptedLogError(
                 f"the log is corrupted at byte {position}, below the synced offset "
                 f"{synced_offset}; restore this replica with an empty data folder so that it "
                 "rejoins as a new one, or from a back-up when it is the only one"
--- a/src/cranklane/replication/replica.py
+++ b/src/cranklane/replication/replica.py
@@ -71,7 +71,7 @@
     def open(self) -> None:
         """Restore the state from disk and start the replica's tasks.
 
-        :raises DamagedLogError: when log, snapshot or vote file is corrupted, or the vote file
+        :raises CorruptedLogError: when log, snapshot or vote file is corrupted, or the vote file
             is missing beside a log.
         :raises OSError: when the disk cannot be read or written.
         """
--- a/src/cranklane/replication/vote_file.py
+++ b/src/cranklane/replication/vote_file.py
@@ -9,7 +9,7 @@
 from random import Random
 
 from cranklane.common.checksummed import add_checksum, verified_payload
-from cranklane.errors import DamagedLogError
+from cranklane.errors import CorruptedLogError
 from cranklane.records.messages import VoteState
 from cranklane.runtime.interface import Storage
 
@@ -33,13 +33,13 @@
         """Read the file, or create it with a new identity in an empty data folder.
 
         :param has_log: whether the folder contains a log or a snapshot.
-        :raises DamagedLogError: when the file is corrupted, or missing although there is a log.
+        :raises CorruptedLogError: when the file is corrupted, or missing although there is a log.
         :raises OSError: when the file cannot be written.
         """
         data = self._storage.read(VOTE_FILE)
         if data is None:
             if has_log:
-                raise DamagedLogError(
+                raise CorruptedLogError(
                     "found a log but no vote file: this replica may have voted; "
                     "empty the data folder so that it rejoins as a new one"
                 )
@@ -47,7 +47,7 @@
             return
         payload = verified_payload(data)
         if payload is None:
-            raise DamagedLogError(
+            raise CorruptedLogError(
                 "the vote file is corrupted; empty the data folder so that this replica "
                 "rejoins as a new one"
             )
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -9,7 +9,7 @@
 
 from cranklane.control import backup
 from cranklane.control.process import ControlProcess, ControlSettings
-from cranklane.errors import DamagedLogError
+from cranklane.errors import CorruptedLogError
 from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane_lab.simulation.world import simulate
 from cranklane_lab.standins.operator import SimulatedOperator
@@ -193,7 +193,7 @@
         with pytest.raises(FileExistsError):
             backup.restore(storage, bytes(data))
         data[len(data) // 2] ^= 1
-        with pytest.raises(DamagedLogError):
+        with pytest.raises(CorruptedLogError):
             backup.restore(control.machine.storage("empty"), bytes(data))
         return control.machine.storage("empty").names()
 
--- a/tests/test_replication_log.py
+++ b/tests/test_replication_log.py
@@ -8,7 +8,7 @@
 
 from cranklane.control.compilation import DocumentCompiler
 from cranklane.control.store import ConfigurationStore
-from cranklane.errors import DamagedLogError
+from cranklane.errors import CorruptedLogError
 from cranklane.records.messages import EditCommand, LogEntry, LogSnapshot
 from cranklane.replication.log import LOG_FILE, SNAPSHOT_FILE, Log
 from cranklane.replication.vote_file import VOTE_FILE, VoteFile
@@ -68,7 +68,7 @@
     for position in (3, length - 1, length + 20, 2 * length + 1):
         before = storage.read(LOG_FILE)
         change(storage, LOG_FILE, position)
-        with pytest.raises(DamagedLogError, match="empty data folder"):
+        with pytest.raises(CorruptedLogError, match="empty data folder"):
             reopened(storage)
         storage.replace(LOG_FILE, before)
 
@@ -77,7 +77,7 @@
     log = filled(storage, 3)
     log.compact(LogSnapshot(1, 2, [], b"state"))
     change(storage, SNAPSHOT_FILE, 10)
-    with pytest.raises(DamagedLogError, match="snapshot"):
+    with pytest.raises(CorruptedLogError, match="snapshot"):
         reopened(storage)
 
 
@@ -121,10 +121,10 @@
 def test_a_lost_or_damaged_vote_file_beside_a_log_is_refused(storage):
     VoteFile(storage).open(Random(1), has_log=False)
     change(storage, VOTE_FILE, 6)
-    with pytest.raises(DamagedLogError):
+    with pytest.raises(CorruptedLogError):
         VoteFile(storage).open(Random(1), has_log=True)
     storage.remove(VOTE_FILE)
-    with pytest.raises(DamagedLogError, match="may have voted"):
+    with pytest.raises(CorruptedLogError, match="may have voted"):
         VoteFile(storage).open(Random(1), has_log=True)
 
 
