--- a/src/cranklane/common/http_client.py
+++ b/src/cranklane/common/http_client.py
@@ -54,7 +54,7 @@
         return self._runtime.connect(self._address, self.connection_timeout)
 
     def _is_socket_alive(self, sock: Any) -> bool:
-        return not self._runtime.hung_up([sock])
+        return not self._runtime.closed_by_peer([sock])
 
 
 class _Response(HTTPSocketPoolResponse):
--- a/src/cranklane/node/callers.py
+++ b/src/cranklane/node/callers.py
@@ -150,5 +150,5 @@
             waiting = {id(item[0]): item for item in self._active.values() if item[0] is not None}
             if not waiting:
                 continue
-            for connection in self._runtime.hung_up([item[0] for item in waiting.values()]):
+            for connection in self._runtime.closed_by_peer([item[0] for item in waiting.values()]):
                 waiting[id(connection)][1].cancel(Reason.CANCELLED)
--- a/src/cranklane/runtime/interface.py
+++ b/src/cranklane/runtime/interface.py
@@ -116,7 +116,7 @@
         """
 
     @abstractmethod
-    def hung_up(self, connections: Iterable[Any]) -> list[Any]:
+    def closed_by_peer(self, connections: Iterable[Any]) -> list[Any]:
         """Return the connections that were closed by the peer or have failed."""
 
     @abstractmethod
--- a/src/cranklane/runtime/real.py
+++ b/src/cranklane/runtime/real.py
@@ -168,7 +168,7 @@
         """Accept TCP connections on an address; port 0 chooses a free port."""
         return RealListener(address, handler, shared)
 
-    def hung_up(self, connections: Iterable[Any]) -> list[Any]:
+    def closed_by_peer(self, connections: Iterable[Any]) -> list[Any]:
         """Return the connections that were closed by the peer or have failed."""
         poll = select.poll()
         by_descriptor = {}
--- a/src/cranklane/sidecar/ingress/disconnect.py
+++ b/src/cranklane/sidecar/ingress/disconnect.py
@@ -47,7 +47,7 @@
     def _check_while_waiting(self) -> None:
         while self._waiting:
             gevent.sleep(CHECK_SECONDS)
-            for connection in self._runtime.hung_up(list(self._waiting)):
+            for connection in self._runtime.closed_by_peer(list(self._waiting)):
                 action = self._waiting.pop(connection, None)
                 if action is not None:
                     action()
--- a/src/cranklane_lab/simulation/network.py
+++ b/src/cranklane_lab/simulation/network.py
@@ -150,7 +150,7 @@
         self._network.later(self, self.peer, self.peer.end)
 
     @property
-    def hung_up(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """Whether the far end has closed or broken."""
         return self.closed or self.ended or self.broken is not None
 
--- a/src/cranklane_lab/simulation/process.py
+++ b/src/cranklane_lab/simulation/process.py
@@ -102,16 +102,16 @@
         """Accept simulated connections."""
         return self._network.listen(self, address, handler, shared)
 
-    def hung_up(self, connections: Iterable[Any]) -> list[Any]:
+    def closed_by_peer(self, connections: Iterable[Any]) -> list[Any]:
         """Return those connections whose far end has closed or broken."""
-        return [connection for connection in connections if connection.hung_up]
+        return [connection for connection in connections if connection.closed_by_peer]
 
     def end_when_unheard(self, connection: Any) -> None:
         """Break a connection whose far end confirms nothing that was sent for a while."""
 
     def has_input(self, connection: Any) -> bool:
         """Return whether a connection has bytes to read, has ended or is broken."""
-        return bool(connection.received) or connection.hung_up
+        return bool(connection.received) or connection.closed_by_peer
 
     def storage(self, folder: str) -> Storage:
         """Return the files of a folder on the machine's disk."""
--- a/src/cranklane_lab/standins/routed_worker.py
+++ b/src/cranklane_lab/standins/routed_worker.py
@@ -257,7 +257,7 @@
         try:
             while self._runtime.monotonic() < ends_at:
                 gevent.sleep(min(_LOOK_SECONDS, max(0.0, ends_at - self._runtime.monotonic())))
-                if self._runtime.hung_up([stream]):
+                if self._runtime.closed_by_peer([stream]):
                     run.cancelled = True
                     return False
         finally:
--- a/src/cranklane_lab/standins/worker.py
+++ b/src/cranklane_lab/standins/worker.py
@@ -170,7 +170,7 @@
         while now < until:
             gevent.sleep(min(CANCEL_LOOK_SECONDS, until - now))
             now = self._runtime.monotonic()
-            if now >= deadline or self._runtime.hung_up([connection]):
+            if now >= deadline or self._runtime.closed_by_peer([connection]):
                 return False
         return True
 
