--- a/src/cranklane/runtime/interface.py
+++ b/src/cranklane/runtime/interface.py
@@ -124,7 +124,7 @@
         """Return whether a connection has bytes to read, is closed or has failed."""
 
     @abstractmethod
-    def end_when_unheard(self, connection: Any) -> None:
+    def enable_ack_timeout(self, connection: Any) -> None:
         """Make a connection fail if the peer stops acknowledging sent data.
 
         Without this time-out, the kernel would report a peer that has lost power or
--- a/src/cranklane/runtime/real.py
+++ b/src/cranklane/runtime/real.py
@@ -189,7 +189,7 @@
         poll.register(descriptor, select.POLLIN | _DISCONNECTED)
         return bool(poll.poll(0))
 
-    def end_when_unheard(self, connection: Any) -> None:
+    def enable_ack_timeout(self, connection: Any) -> None:
         """Make a connection fail if the peer stops acknowledging sent data."""
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _ACK_TIMEOUT_MS)
 
--- a/src/cranklane/sidecar/routing/peer_client.py
+++ b/src/cranklane/sidecar/routing/peer_client.py
@@ -107,7 +107,7 @@
                 return connection
             connection.records.close()
         stream = self._runtime.connect(address, CONNECT_SECONDS)
-        self._runtime.end_when_unheard(stream)
+        self._runtime.enable_ack_timeout(stream)
         records = RecordConnection(stream, CONNECT_SECONDS)
         records.queue(self._hello())
         return _Connection(records, stream)
--- a/src/cranklane_lab/simulation/process.py
+++ b/src/cranklane_lab/simulation/process.py
@@ -106,7 +106,7 @@
         """Return those connections whose far end has closed or broken."""
         return [connection for connection in connections if connection.closed_by_peer]
 
-    def end_when_unheard(self, connection: Any) -> None:
+    def enable_ack_timeout(self, connection: Any) -> None:
         """Break a connection whose far end confirms nothing that was sent for a while."""
 
     def has_input(self, connection: Any) -> bool:
