--- a/src/cranklane/distribution/member_exchange.py
+++ b/src/cranklane/distribution/member_exchange.py
@@ -111,7 +111,7 @@
 
     def serve(self, records: RecordConnection, first: MemberReport) -> None:
         """Receive the reports of another control process until its connection closes."""
-        records.set_silent_after(SILENT_SECONDS)
+        records.set_idle_timeout(SILENT_SECONDS)
         self._membership.apply_report(first)
         try:
             while True:
--- a/src/cranklane/node/inbound.py
+++ b/src/cranklane/node/inbound.py
@@ -83,7 +83,7 @@
         calls: dict[int, InboundCall] = {}
         try:
             records.greet(self._hello())
-            records.set_silent_after(None)
+            records.set_idle_timeout(None)
             while True:
                 call_number, message = records.receive()
                 self._take(records, calls, call_number, message)
--- a/src/cranklane/node/peer_connection.py
+++ b/src/cranklane/node/peer_connection.py
@@ -51,7 +51,7 @@
         self._runtime = runtime
         self._records = RecordConnection(connection, SILENT_SECONDS)
         self.peer = self._records.greet(own)
-        self._records.set_silent_after(None)
+        self._records.set_idle_timeout(None)
         self._calls: dict[int, PeerCall] = {}
         self._next_number = CONNECTION_CALL
         self._on_load = on_load
--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -147,7 +147,7 @@
             raise MalformedRecordError(f"{kind.__name__} expected, {type(message).__name__} found")
         return message
 
-    def set_silent_after(self, seconds: float | None) -> None:
+    def set_idle_timeout(self, seconds: float | None) -> None:
         """Set the receive time-out in seconds; None disables it."""
         if seconds != self.silent_after:
             self.silent_after = seconds
--- a/src/cranklane/replication/link.py
+++ b/src/cranklane/replication/link.py
@@ -91,7 +91,7 @@
                     f"found group {hello.group}, expected {self._local_hello.group}"
                 )
             self.peer_identity = hello.identity
-        self._records.set_silent_after(timeout)
+        self._records.set_idle_timeout(timeout)
         return self._records
 
     def _disconnect(self) -> None:
--- a/src/cranklane/sidecar/routing/peer_client.py
+++ b/src/cranklane/sidecar/routing/peer_client.py
@@ -78,7 +78,7 @@
         attempt.when_cancelled(records.close)
         allowed = attempt.request.deadline_ms / MILLISECONDS
         try:
-            records.set_silent_after(allowed)
+            records.set_idle_timeout(allowed)
             records.send(attempt.request)
             answer = self._answer(records, attempt)
         except (ConnectionLostError, MalformedRecordError) as error:
@@ -163,7 +163,7 @@
         except (OSError, ConnectionLostError, MalformedRecordError):
             return None
         try:
-            connection.records.set_silent_after(EXCHANGE_SECONDS)
+            connection.records.set_idle_timeout(EXCHANGE_SECONDS)
             connection.records.send(update)
             answer = connection.records.expect(QuarantineNews)
         except (ConnectionLostError, MalformedRecordError):
--- a/src/cranklane/sidecar/routing/peer_server.py
+++ b/src/cranklane/sidecar/routing/peer_server.py
@@ -60,7 +60,7 @@
         records = RecordConnection(stream, GREETING_SECONDS)
         try:
             records.expect(Hello)
-            records.set_silent_after(IDLE_SECONDS)
+            records.set_idle_timeout(IDLE_SECONDS)
             while True:
                 self._idle.add(records)
                 _, message = records.receive()
