--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -40,20 +40,20 @@
 class RecordConnection:
     """Sends and receives records on a connection; several tasks may send concurrently.
 
-    :ivar silent_after: seconds without a received byte after which the connection fails;
+    :ivar idle_timeout: seconds without a received byte after which the connection fails;
         None for no limit.
     :ivar bytes_received: total number of received bytes.
     """
 
-    def __init__(self, connection: Any, silent_after: float | None = None) -> None:
-        self.silent_after = silent_after
+    def __init__(self, connection: Any, idle_timeout: float | None = None) -> None:
+        self.idle_timeout = idle_timeout
         self.closed = False
         self._connection = connection
         self._received = bytearray()
         self._outgoing: list[bytes] = []
         self._sending = False
         self.bytes_received = 0
-        connection.settimeout(silent_after)
+        connection.settimeout(idle_timeout)
 
     def send(self, message: Message, call: int = CONNECTION_CALL) -> None:
         """Send a record, or leave it to the task that is already sending.
@@ -149,8 +149,8 @@
 
     def set_idle_timeout(self, seconds: float | None) -> None:
         """Set the receive time-out in seconds; None disables it."""
-        if seconds != self.silent_after:
-            self.silent_after = seconds
+        if seconds != self.idle_timeout:
+            self.idle_timeout = seconds
             self._connection.settimeout(seconds)
 
     def greet(self, local_hello: Hello) -> Hello:
