--- a/src/cranklane/node/inbound.py
+++ b/src/cranklane/node/inbound.py
@@ -22,7 +22,7 @@
 from cranklane.node.peer_connection import PING_SECONDS, SILENT_SECONDS
 from cranklane.outcome import Criticality, Reason
 from cranklane.policy.adopted_policy import AdoptedPolicy
-from cranklane.records.connection import CONNECTION_CALL, RecordConnection, SilenceWatch
+from cranklane.records.connection import CONNECTION_CALL, IdleMonitor, RecordConnection
 from cranklane.records.messages import (
     CallCancel,
     CallOpen,
@@ -61,7 +61,7 @@
         self._hello = hello
         self._on_newer = on_newer
         self._connections: dict[int, RecordConnection] = {}
-        self._watches: dict[int, SilenceWatch] = {}
+        self._watches: dict[int, IdleMonitor] = {}
         self._next_connection = 0
         self.calls = 0
         runtime.spawn(self._watch_silence)
@@ -79,7 +79,7 @@
         self._next_connection += 1
         number = self._next_connection
         self._connections[number] = records
-        self._watches[number] = SilenceWatch(records, SILENT_SECONDS, self._runtime.monotonic())
+        self._watches[number] = IdleMonitor(records, SILENT_SECONDS, self._runtime.monotonic())
         calls: dict[int, InboundCall] = {}
         try:
             records.greet(self._hello())
--- a/src/cranklane/node/peer_connection.py
+++ b/src/cranklane/node/peer_connection.py
@@ -13,7 +13,7 @@
 
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.node.peer_call import PeerCall
-from cranklane.records.connection import CONNECTION_CALL, RecordConnection, SilenceWatch
+from cranklane.records.connection import CONNECTION_CALL, IdleMonitor, RecordConnection
 from cranklane.records.messages import (
     CallOpen,
     GoingAway,
@@ -123,7 +123,7 @@
             call.deliver(ConnectionLostError(str(error)))
 
     def _ping(self) -> None:
-        watch = SilenceWatch(self._records, SILENT_SECONDS, self._runtime.monotonic())
+        watch = IdleMonitor(self._records, SILENT_SECONDS, self._runtime.monotonic())
         while not self._records.closed:
             self.send_quietly(Ping(self._version()), CONNECTION_CALL)
             gevent.sleep(PING_SECONDS)
--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -189,7 +189,7 @@
         )
 
 
-class SilenceWatch:
+class IdleMonitor:
     """Closes a connection that has received nothing for too long.
 
     Periodic checks are cheaper on a busy connection than a timer for each receive.
