--- a/src/cranklane/node/inbound.py
+++ b/src/cranklane/node/inbound.py
@@ -71,7 +71,7 @@
             gevent.sleep(PING_SECONDS)
             now = self._runtime.monotonic()
             for watch in list(self._watches.values()):
-                watch.look(now)
+                watch.close_if_idle(now)
 
     def serve_connection(self, connection: Any, _address: Address) -> None:
         """Serve one node's connection until it ends."""
--- a/src/cranklane/node/peer_connection.py
+++ b/src/cranklane/node/peer_connection.py
@@ -127,7 +127,7 @@
         while not self._records.closed:
             self.send_quietly(Ping(self._version()), CONNECTION_CALL)
             gevent.sleep(PING_SECONDS)
-            watch.look(self._runtime.monotonic())
+            watch.close_if_idle(self._runtime.monotonic())
 
     def close(self) -> None:
         """Close the connection; its calls end as lost."""
--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -203,7 +203,7 @@
         self._bytes = records.bytes_received
         self._changed_at = now
 
-    def look(self, now: float) -> None:
+    def close_if_idle(self, now: float) -> None:
         """Close the connection if its time-out has expired."""
         if self._records.bytes_received != self._bytes:
             self._bytes = self._records.bytes_received
