--- a/src/cranklane/distribution/member_exchange.py
+++ b/src/cranklane/distribution/member_exchange.py
@@ -92,7 +92,7 @@
         position = usage_position = 0
         reported_at = -math.inf
         try:
-            records.greet(self._hello())
+            records.handshake(self._hello())
             while self._is_member(address):
                 wakeup.clear()
                 report, position = self._membership.report_since(position)
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -133,7 +133,9 @@
             return False
         records = RecordConnection(connection, self._timing.silent)
         try:
-            records.greet(Hello(incarnation=self._identity.incarnation, node=self._identity.node))
+            records.handshake(
+                Hello(incarnation=self._identity.incarnation, node=self._identity.node)
+            )
             self._renew_identity()
             records.send(self._identity)
             self._records = records
--- a/src/cranklane/node/inbound.py
+++ b/src/cranklane/node/inbound.py
@@ -82,7 +82,7 @@
         self._watches[number] = IdleMonitor(records, SILENT_SECONDS, self._runtime.monotonic())
         calls: dict[int, InboundCall] = {}
         try:
-            records.greet(self._hello())
+            records.handshake(self._hello())
             records.set_idle_timeout(None)
             while True:
                 call_number, message = records.receive()
--- a/src/cranklane/node/ledger_client.py
+++ b/src/cranklane/node/ledger_client.py
@@ -68,7 +68,7 @@
     def __init__(self, runtime: Runtime, address: Address, own: Hello) -> None:
         connection = runtime.connect(address, CONNECT_SECONDS)
         self.records = RecordConnection(connection, IDLE_SECONDS)
-        self.records.greet(own)
+        self.records.handshake(own)
         self._answers: dict[int, AsyncResult] = {}
         self._next_call = 0
         runtime.spawn(self._read)
--- a/src/cranklane/node/peer_connection.py
+++ b/src/cranklane/node/peer_connection.py
@@ -50,7 +50,7 @@
         connection = runtime.connect(address, connect_timeout)
         self._runtime = runtime
         self._records = RecordConnection(connection, SILENT_SECONDS)
-        self.peer = self._records.greet(own)
+        self.peer = self._records.handshake(own)
         self._records.set_idle_timeout(None)
         self._calls: dict[int, PeerCall] = {}
         self._next_number = CONNECTION_CALL
--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -153,7 +153,7 @@
             self.idle_timeout = seconds
             self._connection.settimeout(seconds)
 
-    def greet(self, local_hello: Hello) -> Hello:
+    def handshake(self, local_hello: Hello) -> Hello:
         """Send a Hello first and return the peer's.
 
         :raises ConnectionLostError: if the connection ends, fails or times out.
