--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -165,7 +165,7 @@
         _check_protocol(peer)
         return peer
 
-    def welcome(self, peer: Hello, local_hello: Hello) -> None:
+    def accept_handshake(self, peer: Hello, local_hello: Hello) -> None:
         """Reply to a Hello that was already received.
 
         :raises ConnectionLostError: if the connection is closed or fails.
--- a/src/cranklane/replication/port_dispatcher.py
+++ b/src/cranklane/replication/port_dispatcher.py
@@ -48,7 +48,7 @@
                 raise MalformedRecordError(
                     f"{type(first).__name__} as the first record; expected ReplicaHello or Hello"
                 )
-            records.welcome(first, self._hello())
+            records.accept_handshake(first, self._hello())
             self._serve(records)
         except (ConnectionLostError, MalformedRecordError):
             # The peer reconnects.
