--- a/src/cranklane/common/headers.py
+++ b/src/cranklane/common/headers.py
@@ -46,10 +46,10 @@
 """Hop-by-hop headers; never forwarded."""
 
 
-def is_own(name: str) -> bool:
+def is_reserved_header(name: str) -> bool:
     """Return whether a header name is reserved, so that callers cannot forge the header.
 
-    >>> is_own("cranklane-context"), is_own("Content-Type")
+    >>> is_reserved_header("cranklane-context"), is_reserved_header("Content-Type")
     (True, False)
     """
     return name.lower().startswith("cranklane-")
--- a/src/cranklane/node/answer_stream.py
+++ b/src/cranklane/node/answer_stream.py
@@ -9,7 +9,7 @@
 import zlib
 from collections.abc import Iterable
 
-from cranklane.common.headers import HOP_BY_HOP, is_own
+from cranklane.common.headers import HOP_BY_HOP, is_reserved_header
 from cranklane.common.http_client import HttpResponse
 from cranklane.errors import TruncatedAnswerError
 from cranklane.node.inbound_call import InboundCall
@@ -27,7 +27,7 @@
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in HOP_BY_HOP and not is_own(name)
+        if name.lower() not in HOP_BY_HOP and not is_reserved_header(name)
     ]
 
 
--- a/src/cranklane/node/caller_request.py
+++ b/src/cranklane/node/caller_request.py
@@ -11,7 +11,7 @@
 from result import Err, Ok, Result
 
 from cranklane.common import headers
-from cranklane.common.headers import HOP_BY_HOP, is_own
+from cranklane.common.headers import HOP_BY_HOP, is_reserved_header
 from cranklane.node.answer import Request
 from cranklane.outcome import Reason
 
@@ -59,7 +59,7 @@
     return [
         (name.title(), value)
         for name, value in request.headers.items()
-        if name.lower() not in _DROPPED_HEADERS and not is_own(name)
+        if name.lower() not in _DROPPED_HEADERS and not is_reserved_header(name)
     ]
 
 
