--- a/src/cranklane/common/header_names.py
+++ b/src/cranklane/common/header_names.py
@@ -37,7 +37,7 @@
     tenant: bytes = b"Cranklane-Tenant"
 
     @property
-    def set_here(self) -> frozenset[bytes]:
+    def managed_request_headers(self) -> frozenset[bytes]:
         """Lower-case names of the request headers that a sidecar sets or removes."""
         names = (self.deadline, self.instance, self.caller, self.key, self.tenant)
         return frozenset(name.lower() for name in names)
--- a/src/cranklane/sidecar/ingress/call_builder.py
+++ b/src/cranklane/sidecar/ingress/call_builder.py
@@ -58,7 +58,7 @@
         self._caller_service = caller_service.encode()
         self._splitter = splitter
         self._deadline_name = names.deadline.lower()
-        self._set_here = names.set_here
+        self._set_here = names.managed_request_headers
 
     def build(
         self,
