--- a/src/cranklane/common/logs.py
+++ b/src/cranklane/common/logs.py
@@ -43,11 +43,11 @@
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     queue = LineQueue(descriptor)
-    write_lines_to(queue.put)
+    set_log_sink(queue.put)
     return queue
 
 
-def write_lines_to(sink: LineSink | None) -> None:
+def set_log_sink(sink: LineSink | None) -> None:
     """Set the log sink of this process; None discards all lines."""
     _Output.sink = staticmethod(sink or _discard_line)
 
--- a/src/cranklane_lab/simulate.py
+++ b/src/cranklane_lab/simulate.py
@@ -8,14 +8,14 @@
 from dataclasses import asdict
 from typing import Any
 
-from cranklane.common.logs import write_lines_to
+from cranklane.common.logs import set_log_sink
 from cranklane_lab.scenarios.base import Result, run_seed
 from cranklane_lab.scenarios.library import SCENARIOS
 
 
 def quiet() -> None:
     """Write no log lines of simulated processes."""
-    write_lines_to(None)
+    set_log_sink(None)
 
 
 def _run(arguments: tuple[str, int, tuple[str, ...]]) -> Result:
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -11,7 +11,7 @@
 
 from cranklane.cli.main import application
 from cranklane.common.line_queue import LineQueue
-from cranklane.common.logs import write_lines_to
+from cranklane.common.logs import set_log_sink
 from cranklane.common.rate_limit import RateLimit
 from cranklane_lab.simulate import quiet
 from mesh_support import each_worker, play
@@ -22,7 +22,7 @@
     """Take every line that simulated processes write."""
     lines = []
 
-    write_lines_to(lines.append)
+    set_log_sink(lines.append)
     try:
         yield lines
     finally:
