--- a/src/cranklane/common/http1/reader.py
+++ b/src/cranklane/common/http1/reader.py
@@ -154,7 +154,7 @@
                 raise TruncatedMessageError
         return message.pieces.popleft()
 
-    def body_so_far(self) -> tuple[bytes, bool]:
+    def take_buffered_body(self) -> tuple[bytes, bool]:
         """Return the buffered part of the body and whether it reaches the body's end."""
         message = self._messages[0]
         data = b"".join(message.pieces)
--- a/src/cranklane/sidecar/ingress/caller_connection.py
+++ b/src/cranklane/sidecar/ingress/caller_connection.py
@@ -60,7 +60,7 @@
         :raises TruncatedMessageError: when the connection ends before it does.
         """
         self._bytes_allowed = max_bytes
-        self.body, self.body_whole = self.reader.body_so_far()
+        self.body, self.body_whole = self.reader.take_buffered_body()
         while not self.body_whole and len(self.body) < kept_bytes:
             piece = self.reader.next_piece()
             self.body_whole = not piece
