--- a/src/cranklane/cli/configuration.py
+++ b/src/cranklane/cli/configuration.py
@@ -11,7 +11,7 @@
 
 from cranklane.cli.common import Control, Token, call, fail
 from cranklane.cli.policy import read_policy
-from cranklane.policy.model import states_anything
+from cranklane.policy.model import has_settings
 
 REQUEST_ID_BYTES = 8
 """Random bytes of an edit's request id. A choice: no two edits meet by accident."""
@@ -64,7 +64,7 @@
     policy = read_policy(path)
     request = request or secrets.token_hex(REQUEST_ID_BYTES)
     documents = [(tenant.name, tenant.source) for tenant in policy.tenants]
-    if states_anything(policy):
+    if has_settings(policy):
         documents.insert(0, ("root", policy.source))
     version = 0
     for name, text in documents:
--- a/src/cranklane/control/compilation.py
+++ b/src/cranklane/control/compilation.py
@@ -12,7 +12,7 @@
 from cranklane.control.store import ROOT, ConfigurationStore
 from cranklane.errors import PolicyError
 from cranklane.policy.compiler import compile_policy
-from cranklane.policy.model import Policy, states_anything
+from cranklane.policy.model import Policy, has_settings
 from cranklane.policy.syntax import parse
 from cranklane.records.messages import ConfigRow
 
@@ -59,7 +59,7 @@
         if names:
             raise PolicyError(["the root document holds no tenants; each has a document"])
         return
-    if names not in ([name], []) or states_anything(policy):
+    if names not in ([name], []) or has_settings(policy):
         raise PolicyError([f"document {name} holds the tenant {name} and nothing else"])
 
 
--- a/src/cranklane/policy/model.py
+++ b/src/cranklane/policy/model.py
@@ -121,6 +121,6 @@
                 yield tenant, service
 
 
-def states_anything(branch: Branch) -> bool:
+def has_settings(branch: Branch) -> bool:
     """Return whether a branch itself sets any inheritable setting."""
     return any(getattr(branch, setting.name) is not None for setting in fields(Branch))
