--- a/src/cranklane/common/http1/writer.py
+++ b/src/cranklane/common/http1/writer.py
@@ -30,7 +30,9 @@
     return b"".join([b"%s: %s\r\n" % header for header in headers])
 
 
-def end_to_end(headers: list[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
+def end_to_end_headers(
+    headers: list[Header], without: frozenset[bytes] = frozenset()
+) -> list[Header]:
     """Return the headers to forward.
 
     Drops hop-by-hop headers and those named by a ``Connection`` header.
--- a/src/cranklane/sidecar/ingress/call_builder.py
+++ b/src/cranklane/sidecar/ingress/call_builder.py
@@ -4,7 +4,7 @@
 
 from cranklane.common.header_names import HeaderNames
 from cranklane.common.http1.message import Framing, RequestHead
-from cranklane.common.http1.writer import end_to_end, framing_line, header_lines
+from cranklane.common.http1.writer import end_to_end_headers, framing_line, header_lines
 from cranklane.common.units import MILLISECONDS
 from cranklane.outcome import Reason
 from cranklane.routes.splitter import Splitter
@@ -109,7 +109,7 @@
         return b"%s %s HTTP/1.1\r\n%s%s%s%s: %s\r\n" % (
             head.method,
             head.target,
-            header_lines(end_to_end(head.headers, self._set_here)),
+            header_lines(end_to_end_headers(head.headers, self._set_here)),
             framing_line(framing, length),
             identity_line(self._names, caller),
             self._names.caller,
--- a/src/cranklane/sidecar/worker/exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -16,7 +16,7 @@
     MalformedMessageError,
     TruncatedMessageError,
 )
-from cranklane.common.http1.writer import LAST_CHUNK, chunk, end_to_end, header_lines
+from cranklane.common.http1.writer import LAST_CHUNK, chunk, end_to_end_headers, header_lines
 from cranklane.common.units import MILLISECONDS
 from cranklane.errors import TruncatedAnswerError
 from cranklane.outcome import Outcome, Reason
@@ -207,7 +207,7 @@
             status=head.status,
             framing=head.framing,
             length=head.length,
-            lines=header_lines(end_to_end(head.headers)),
+            lines=header_lines(end_to_end_headers(head.headers)),
             body=b"".join(pieces),
         )
         if whole:
