--- a/src/cranklane/common/addresses.py
+++ b/src/cranklane/common/addresses.py
@@ -6,10 +6,10 @@
 
 
 def peer_addresses(seeds: list[str], port: int) -> list[str]:
-    """Return the addresses on which the controllers at ``seeds`` accept peers and sidecars.
+    """Return the peer addresses of the controllers at the given seed addresses.
 
     :param seeds: ``host:port`` of each controller's operator API.
-    :param port: port shared by all controllers for peer connections.
+    :param port: port on which every controller accepts peers and sidecars.
 
     >>> peer_addresses(["10.0.0.1:80"], 7000)
     ['10.0.0.1:7000']
--- a/src/cranklane/common/http1/reader.py
+++ b/src/cranklane/common/http1/reader.py
@@ -155,7 +155,7 @@
         return message.pieces.popleft()
 
     def take_buffered_body(self) -> tuple[bytes, bool]:
-        """Return the buffered part of the body and whether it reaches the body's end."""
+        """Remove and return the buffered part of the body, and whether it is the last part."""
         message = self._messages[0]
         data = b"".join(message.pieces)
         message.pieces.clear()
--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -148,7 +148,7 @@
         return message
 
     def set_idle_timeout(self, seconds: float | None) -> None:
-        """Set the receive time-out in seconds; None disables it."""
+        """Set the idle time-out in seconds; None disables it."""
         if seconds != self.idle_timeout:
             self.idle_timeout = seconds
             self._connection.settimeout(seconds)
