--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -89,7 +89,7 @@
         self._log = logger(process="control", node=settings.name)
         self.store = ConfigurationStore()
         self._nodes = NodeService(
-            runtime, settings.name, self.store, self._hello, self._log, TIMING
+            runtime, settings.name, self.store, self._make_hello, self._log, TIMING
         )
         self.membership = self._nodes.membership
         self.publisher = self._nodes.publisher
@@ -100,7 +100,7 @@
         )
         self.changes = MembershipChange(self.replica)
         peers = PeerService(self.replica, self.changes.join)
-        self._port = PortDispatcher(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._make_hello, self._nodes.serve, SILENT_SECONDS)
         self.editor = Editor(runtime, self.store, self.replica)
 
     def start(self) -> None:
@@ -131,7 +131,7 @@
         self._log.info("stopped", revision=self.store.revision)
         return True
 
-    def _hello(self) -> Hello:
+    def _make_hello(self) -> Hello:
         return Hello(version=self.store.revision, node=self.settings.name)
 
     @property
--- a/src/cranklane/controller/__init__.py
+++ b/src/cranklane/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The controller program: keeps the route table of sidecars, and their fleet-wide quotas."""
+"""The controller: stores the route table of sidecars and enforces fleet-wide tenant quotas."""
--- a/src/cranklane/controller/confirmation.py
+++ b/src/cranklane/controller/confirmation.py
@@ -1,9 +1,9 @@
-"""As of when this process's copy of the state was certainly the newest.
+"""Age of a replica's state: the time since it was known to hold every acknowledged entry.
 
-A replica that leads knows it while a quorum supports it. Another one asks the leader and
-learns up to which entry all lies that was acknowledged before it asked. The age counts
-from the moment of asking, so that an answer that was delayed on its way proves no more
-than it should. Owns the newest answers; log and leadership belong to the replica.
+A leader's state is current while it holds its lease. A follower asks the leader for its commit
+index; once the follower has applied that index, its state is as recent as the request. The age
+is counted from the request, because entries may be committed while the response is under way.
+Owns the latest responses; log and leadership belong to the replica.
 """
 
 from __future__ import annotations
@@ -16,39 +16,42 @@
 from cranklane.records.messages import ConfirmReply, ConfirmRequest
 from cranklane.replication.replica import Replica
 
-ASK_SECONDS = 0.25
-"""Between two questions to the leader: what a follower confirms is older by about this much
-than what the leader would. A choice: below the heartbeats of sidecars (0.5 s)."""
+CONFIRM_INTERVAL_SECONDS = 0.25
+"""Interval of a follower's requests to the leader. Adds to the age of a follower's state; below
+the heartbeat interval of sidecars (0.5 s)."""
 
 REPLY_SECONDS = 0.5
-"""Wait for the leader's answer. A choice: a later one would prove little."""
+"""Timeout of a request to the leader."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Confirmation:
-    """All that was acknowledged before ``asked_at`` lies at or before an entry."""
+class _ConfirmedIndex:
+    """Log index that covers every entry acknowledged before ``asked_at``."""
 
     asked_at: float
     index: int
 
 
-class Confirmation:
-    """As of when one replica has applied all that was acknowledged."""
+class StateFreshness:
+    """Tracks the age of one replica's state.
+
+    :param clock: returns monotonic seconds.
+    """
 
     def __init__(self, replica: Replica, clock: Callable[[], float]) -> None:
         self._replica = replica
         self._clock = clock
-        self._applied: _Confirmation | None = None
-        self._newest: _Confirmation | None = None
+        self._applied_confirmation: _ConfirmedIndex | None = None
+        self._latest_confirmation: _ConfirmedIndex | None = None
 
     def run(self) -> None:
-        """Ask the leader each ``ASK_SECONDS`` while another replica leads, for ever."""
+        """Ask the leader periodically while another replica leads; runs until the process ends."""
         while True:
             if not self._replica.is_leader:
-                self._ask()
-            gevent.sleep(ASK_SECONDS)
+                self._request_commit_index()
+            gevent.sleep(CONFIRM_INTERVAL_SECONDS)
 
-    def _ask(self) -> None:
+    def _request_commit_index(self) -> None:
         leader = self._replica.leader_member()
         if leader is None or leader.identity == self._replica.identity:
             return
@@ -56,13 +59,17 @@
         request = ConfirmRequest(self._replica.term)
         reply = self._replica.link(leader).call(request, ConfirmReply, REPLY_SECONDS)
         if reply is not None and reply.leads:
-            self._newest = _Confirmation(asked_at, reply.commit)
+            self._latest_confirmation = _ConfirmedIndex(asked_at, reply.commit)
 
     def age(self) -> float | None:
-        """Return the seconds since the state here was certainly the newest; None: unknown."""
+        """Return the age of the state in seconds, or None before the first confirmation."""
         if self._replica.may_read:
             return 0.0
-        newest = self._newest
-        if newest is not None and self._replica.applied_index >= newest.index:
-            self._applied = newest
-        return self._clock() - self._applied.asked_at if self._applied is not None else None
+        latest = self._latest_confirmation
+        if latest is not None and self._replica.applied_index >= latest.index:
+            self._applied_confirmation = latest
+        return (
+            self._clock() - self._applied_confirmation.asked_at
+            if self._applied_confirmation is not None
+            else None
+        )
--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -1,6 +1,7 @@
-"""A control process for route tables that forms and repairs its own group.
+"""Controller process: a replica of the route table that serves sidecars and operators.
 
-Owns the parts and the order in which they start and stop.
+Its group forms and replaces lost replicas without an operator. Owns the components and the
+order in which they start and stop.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from cranklane.common.logs import logger
 from cranklane.common.metrics_server import GaugeRegistry, MetricsServer
 from cranklane.common.small_http import SmallHttp
-from cranklane.controller.confirmation import Confirmation
+from cranklane.controller.confirmation import StateFreshness
 from cranklane.controller.fleet_quotas import FleetQuotas
 from cranklane.controller.route_api import RouteApi
 from cranklane.controller.route_editor import RouteEditor
@@ -43,19 +44,18 @@
 )
 
 GROUP = "routes"
-"""Name of the group of replicas that holds the route table."""
+"""Name of the replication group of the route table."""
 
 TIMING = NodeServiceTiming(
     out_of_touch_after=1.2, last_resort_stay=3.0, contact_check=0.2, expiry_check=0.5
 )
-"""Sidecars leave a controller that is cut off within these times, so that a table is in
-force at them soon although theirs has missed it. A choice: well within the
-2 s in which a table is to be in force."""
+"""Sidecars leave a controller that lost contact with its group within these times, so that they
+adopt a new table within 2 s even if their controller has missed it."""
 
 REPORTING_SECONDS = 1.2
-"""Time since its last record within which a sidecar counts as reporting its usage. A sidecar
-without an answer for longer admits its own share only; a choice: two heartbeats (0.5 s) and
-their answers."""
+"""Time since its last record within which a sidecar counts as reporting its usage: two heartbeat
+intervals (0.5 s) and the responses. A sidecar without a response for longer limits tenants by
+its local share."""
 
 
 @dataclass
@@ -63,7 +63,7 @@
     """Settings of a controller."""
 
     name: str = setting(NAME, help="name of this process, unique in the fleet")
-    zone: str = setting(NAME, help="zone this machine stands in")
+    zone: str = setting(NAME, help="zone of this machine")
     listen: str = setting(ADDRESS, help="address for nodes and other controllers")
     http: str = setting(ADDRESS, help="address for operators")
     data: str = setting(TEXT, help="data folder")
@@ -72,19 +72,19 @@
         whole_number(1, 65535), help="port at which controllers listen for each other"
     )
     first_start: bool = setting(
-        YES_OR_NO, False, help="the whole system starts for the first time, with empty disks"
+        YES_OR_NO, False, help="first start of the whole system, with empty disks"
     )
     tolerated_losses: int = setting(
-        whole_number(0, 8), 1, help="controllers whose disks may be lost at once"
+        whole_number(0, 8), 1, help="number of controllers whose disks may be lost at the same time"
     )
     quota_slack: float = setting(
         seconds(0, 1_000_000),
         0.0,
-        help="requests of a tenant that may run beyond its limit in a window, over the whole fleet",
+        help="requests by which a tenant may exceed its limit in a window, over the whole fleet",
     )
-    metrics: str = setting(OPTIONAL_ADDRESS, "", help="address of /metrics; none: nowhere")
+    metrics: str = setting(OPTIONAL_ADDRESS, "", help="address of /metrics; empty for no metrics")
     advertise: str = setting(
-        OPTIONAL_ADDRESS, "", help="address told to others, when it is not the one listened on"
+        OPTIONAL_ADDRESS, "", help="address that others connect to, if not the listen address"
     )
 
 
@@ -97,37 +97,43 @@
         self._log = logger(process="controller", node=settings.name)
         self.store = RouteTableStore()
         self._nodes = NodeService(
-            runtime, settings.name, self.store, self._hello, self._log, TIMING, sends_replicas=True
+            runtime,
+            settings.name,
+            self.store,
+            self._make_hello,
+            self._log,
+            TIMING,
+            sends_replicas=True,
         )
         self.membership = self._nodes.membership
         self.publisher = self._nodes.publisher
         self.replica = self._make_replica()
-        self._confirmation = Confirmation(self.replica, runtime.monotonic)
+        self._freshness = StateFreshness(self.replica, runtime.monotonic)
         self._sidecars = self._make_sidecar_service()
         voters = 2 * settings.tolerated_losses + 1
         self.changes = MembershipChange(self.replica, voters)
         peers = PeerService(self.replica, self.changes.join)
-        self._port = PortDispatcher(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._make_hello, self._nodes.serve, SILENT_SECONDS)
         self.editor = RouteEditor(self.store, self.replica, voters)
 
     def _make_replica(self) -> Replica:
         settings = self.settings
-        # An address belongs to one machine at a time, so it names a replica.
+        # An address belongs to one machine at a time, so it serves as the replica's name.
         address = settings.advertise or settings.listen
         identity = ReplicaInfo(GROUP, address, address, settings.http)
         storage = self.runtime.storage(settings.data)
-        return Replica(self.runtime, storage, self.store, identity, self._applied, self._log)
+        return Replica(self.runtime, storage, self.store, identity, self._on_applied, self._log)
 
     def _make_sidecar_service(self) -> SidecarService:
         quotas = FleetQuotas(
             self.settings.name,
             self.runtime.monotonic,
             lambda: self.store.tenants,
-            self._fleet,
+            self._fleet_count,
             self.settings.quota_slack,
         )
         return SidecarService(
-            self._confirmation,
+            self._freshness,
             quotas,
             lambda: self.store.revision,
             self.publisher.wake,
@@ -135,71 +141,85 @@
         )
 
     def start(self) -> None:
-        """Come back to the last state, then open the ports and find the group."""
+        """Load the stored state, open the ports and join or form the group."""
         settings = self.settings
         self.replica.open()
         self._listener = self.runtime.listen(parse_address(settings.listen), self._port.accept)
         api = RouteApi(self.replica, self.store, self.editor, self._log)
         self.http = HttpServer(self.runtime, parse_address(settings.http), api.application)
         if settings.metrics:
-            metrics = MetricsServer(self._registry().text)
+            metrics = MetricsServer(self._gauge_registry().text)
             serve = SmallHttp(self.runtime, metrics.handle).accept
             self.runtime.listen(parse_address(settings.metrics), serve)
-        assembly = GroupBootstrap(self.replica, self._seeds, settings.first_start)
-        self.runtime.spawn(assembly.run)
+        bootstrap = GroupBootstrap(self.replica, self._seed_addresses, settings.first_start)
+        self.runtime.spawn(bootstrap.run)
         self._nodes.serve_sidecars(self._sidecars)
-        self.runtime.spawn(self._confirmation.run)
+        self.runtime.spawn(self._freshness.run)
         self._nodes.start(self.replica)
         self._log.info(
             "started", version=self.store.version, term=self.replica.term, seeds=settings.seeds
         )
 
     def stop(self) -> bool:
-        """Stop; everything acknowledged is on disk already."""
+        """Stop accepting requests; acknowledged entries are already on disk."""
         self.http.stop_accepting()
         self._listener.close()
         self._log.info("stopped", version=self.store.version)
         return True
 
     def reload(self, settings: ControllerSettings) -> None:
-        """Take settings that have changed: only the seeds can."""
+        """Apply changed settings; only the seeds can change at run time."""
         if settings.seeds != self.settings.seeds:
             self._log.info("seeds_changed", seeds=settings.seeds)
         self.settings = settings
 
-    def _registry(self) -> GaugeRegistry:
+    def _gauge_registry(self) -> GaugeRegistry:
         gauges = GaugeRegistry()
         replica = self.replica
-        gauges.add("cranklane_table_version", "Version in force.", lambda: self.store.version)
-        gauges.add("cranklane_term", "Newest term known.", lambda: replica.term)
-        gauges.add("cranklane_leads", "Whether it leads for certain.", lambda: replica.may_read)
-        gauges.add("cranklane_in_touch", "Whether it heard of a leader.", lambda: self.in_touch)
-        gauges.add("cranklane_applied_index", "Entry applied.", lambda: replica.applied_index)
-        gauges.add("cranklane_voters", "Voters.", lambda: len(replica.members.voters()))
+        gauges.add(
+            "cranklane_table_version", "Route table version in force.", lambda: self.store.version
+        )
+        gauges.add("cranklane_term", "Latest known term.", lambda: replica.term)
+        gauges.add(
+            "cranklane_leads",
+            "Whether the replica leads and holds its lease.",
+            lambda: replica.may_read,
+        )
+        gauges.add(
+            "cranklane_in_touch",
+            "Whether the process was recently in touch with the leader.",
+            lambda: self.in_touch,
+        )
+        gauges.add(
+            "cranklane_applied_index",
+            "Index of the last applied entry.",
+            lambda: replica.applied_index,
+        )
+        gauges.add("cranklane_voters", "Number of voters.", lambda: len(replica.members.voters()))
         gauges.add(
             "cranklane_subscribers",
-            "Nodes that follow it.",
+            "Subscribed nodes.",
             lambda: len(self.publisher.subscribers),
         )
-        gauges.add("cranklane_members", "Nodes known.", lambda: len(self.membership))
+        gauges.add("cranklane_members", "Known nodes.", lambda: len(self.membership))
         return gauges
 
-    def _fleet(self) -> FleetCount:
-        """Return how many sidecars there are, and how many report their usage here."""
+    def _fleet_count(self) -> FleetCount:
+        """Return the number of known sidecars and of those that report usage to this process."""
         reporting = self.publisher.active_since(self.runtime.monotonic() - REPORTING_SECONDS)
         return FleetCount(len(self.membership), reporting)
 
-    def _seeds(self) -> list[str]:
+    def _seed_addresses(self) -> list[str]:
         return peer_addresses(self.settings.seeds, self.settings.peer_port)
 
-    def _hello(self) -> Hello:
+    def _make_hello(self) -> Hello:
         return Hello(version=self.store.revision, node=self.settings.name)
 
-    def _applied(self) -> None:
+    def _on_applied(self) -> None:
         self._log.info("applied", version=self.store.version, index=self.replica.applied_index)
         self.publisher.changed()
 
     @property
     def in_touch(self) -> bool:
-        """Whether this process was lately in touch with its group's leader."""
+        """Whether this process was recently in touch with its group's leader."""
         return self._nodes.in_touch
--- a/src/cranklane/controller/quota_bucket.py
+++ b/src/cranklane/controller/quota_bucket.py
@@ -1,9 +1,8 @@
-"""Which ratio of a tenant's requests sidecars admit: a token bucket for the whole fleet.
+"""Admission ratio of a tenant, from a token bucket for the whole fleet.
 
-The bucket is filled by the tenant's rate and emptied by what was admitted. From its level and
-from what is offered follows the ratio to admit. The constants were set together in the model
-of ``tests/test_tenants.py`` (71 sidecars, reports 0.2 s old): in a surge of 7.5 times the
-fullest window had 0.57 to 0.86 of its bound, at 60% of a limit at most 1.2% was refused.
+The bucket fills at the tenant's rate and drains with admitted requests. The ratio follows from
+the bucket's level and the offered rate. The constants depend on each other:
+``tests/test_tenants.py`` simulates them together.
 """
 
 from __future__ import annotations
@@ -13,43 +12,46 @@
 from cranklane.records.messages import TenantUsage
 from cranklane.routes.tenants import Tenant
 
-LEVEL_SECONDS = 0.5
-"""Time in which a bucket comes close to its reserve at what is admitted: longer than the
-delay of the totals, so that the ratio does not swing."""
+LEVEL_CORRECTION_SECONDS = 0.5
+"""Time constant with which the ratio steers the level back to the reserve. Longer than the delay
+of usage totals, to avoid oscillation."""
 
-OFFERED_SECONDS = 0.25
-"""Time over which the rate of what is offered is smoothed. A choice: some reports long."""
+OFFERED_SMOOTHING_SECONDS = 0.25
+"""Time constant of the smoothed offered rate; covers several usage reports."""
 
-RESERVE_RATIO = 0.2
-"""Ratio of a bucket's depth that is kept for what is admitted before a surge is seen."""
+RESERVE_FRACTION = 0.2
+"""Fraction of a bucket's depth kept as a reserve for requests admitted before a surge shows in
+usage reports."""
 
-RATE_MARGIN = 0.03
-"""Ratio of a rate that is admitted beyond it, so that errors of the totals do not refuse what
-is within it."""
+RATE_MARGIN_FRACTION = 0.03
+"""Fraction by which the fill rate exceeds a tenant's rate, so that errors of the totals do not
+refuse requests within the limit."""
 
-SLACK_RATIO = 0.4
-"""Ratio of the tolerated overrun by which a bucket is deeper than the burst: the rest is for
-what is admitted before a surge is seen."""
+SLACK_BURST_FRACTION = 0.4
+"""Fraction of the tolerated overrun that is added to the burst. The rest covers requests admitted
+before a surge shows in usage reports."""
 
 MIN_DEPTH_SECONDS = 0.2
-"""A bucket holds at least the rate of this time: what comes in one delay of the totals."""
+"""Minimum depth of a bucket, as time at the tenant's rate: the requests of one delay of usage
+totals."""
 
 MIN_CHANGE_PERMILLE = 30
-"""Thousandths by which a ratio must change before sidecars get it. A choice: fewer records, at
-an error within ``RATE_MARGIN``."""
+"""Smallest change of a ratio that is published, in thousandths. Saves records; the error stays
+within ``RATE_MARGIN_FRACTION``."""
 
 MIN_PERMILLE = 10
-"""Smallest ratio, in thousandths. A choice: what is offered stays visible in what runs."""
+"""Minimum ratio, in thousandths: some requests of a tenant far over its limit still run."""
 
 FULL_PERMILLE = 1000
+"""Ratio that admits every request, in thousandths."""
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaLimit:
-    """What a tenant may use of the fleet.
+    """Fill rate and depth of a tenant's bucket.
 
-    :ivar rate: tokens a second.
-    :ivar depth: tokens that the bucket holds.
+    :ivar rate: tokens per second.
+    :ivar depth: maximum number of tokens.
     """
 
     rate: float
@@ -57,59 +59,66 @@
 
 
 def limit_of(tenant: Tenant, reporting_ratio: float, slack: float) -> QuotaLimit:
-    """Return what a controller gives out of a tenant's limit.
+    """Return the part of a tenant's limit that one controller enforces.
 
-    :param reporting_ratio: ratio of all sidecars whose usage the controller knows. It gives out
-        only as much, so that two halves of a cut fleet together keep the limit.
-    :param slack: requests that may run beyond a limit in a window.
+    :param reporting_ratio: fraction of all sidecars whose usage the controller knows. The limit
+        is scaled by it, so that both sides of a network partition together keep the limit.
+    :param slack: requests by which a tenant may exceed its limit in a window.
     """
-    rate = tenant.rate_per_second * reporting_ratio * (1 + RATE_MARGIN)
-    depth = max(tenant.burst + SLACK_RATIO * slack, tenant.rate_per_second * MIN_DEPTH_SECONDS)
+    rate = tenant.rate_per_second * reporting_ratio * (1 + RATE_MARGIN_FRACTION)
+    depth = max(
+        tenant.burst + SLACK_BURST_FRACTION * slack, tenant.rate_per_second * MIN_DEPTH_SECONDS
+    )
     return QuotaLimit(rate, reporting_ratio * depth)
 
 
 @dataclass(slots=True)
 class QuotaBucket:
-    """One tenant's state for the whole fleet.
+    """Token bucket of one tenant.
 
-    :ivar offered: requests that came since the last step, less those that were admitted and
-        did not run; ``used`` of them count.
-    :ivar level: tokens; below zero when more was admitted than there were.
-    :ivar offered_rate: smoothed, in requests a second.
-    :ivar permille: ratio that sidecars have, in thousandths.
+    :ivar offered: requests received since the last step, without those admitted but not run.
+    :ivar used: requests admitted and run since the last step.
+    :ivar level: tokens; negative after more admissions than there were tokens.
+    :ivar offered_rate: smoothed rate of offered requests per second.
+    :ivar published_permille: ratio last published to sidecars, in thousandths.
     """
 
     offered: int = 0
     used: int = 0
     level: float = 0.0
     offered_rate: float = 0.0
-    permille: int = FULL_PERMILLE
+    published_permille: int = FULL_PERMILLE
 
     def add(self, usage: TenantUsage) -> None:
         """Add usage since the last step.
 
-        What was admitted and did not run is no demand on the rate: it may well come again.
+        Admitted requests that did not run are left out: their retries are counted instead.
         """
         self.offered += usage.offered - usage.returned
         self.used += usage.admitted - usage.returned
 
     def step(self, limit: QuotaLimit, seconds: float) -> int:
-        """Close a step of some seconds; return the ratio to admit, in thousandths."""
+        """Update level and offered rate; return the admission ratio in thousandths.
+
+        :param seconds: time since the previous step.
+        """
         self.level = min(limit.depth, self.level + limit.rate * seconds - self.used)
-        weight = min(1.0, seconds / OFFERED_SECONDS)
+        weight = min(1.0, seconds / OFFERED_SMOOTHING_SECONDS)
         if seconds > 0:
-            came = max(0, self.offered) / seconds
-            self.offered_rate += weight * (came - self.offered_rate)
+            current_rate = max(0, self.offered) / seconds
+            self.offered_rate += weight * (current_rate - self.offered_rate)
         self.offered = self.used = 0
-        allowed = limit.rate + (self.level - RESERVE_RATIO * limit.depth) / LEVEL_SECONDS
-        if self.offered_rate <= allowed:
+        allowed_rate = (
+            limit.rate + (self.level - RESERVE_FRACTION * limit.depth) / LEVEL_CORRECTION_SECONDS
+        )
+        if self.offered_rate <= allowed_rate:
             return FULL_PERMILLE
-        return max(MIN_PERMILLE, int(allowed / self.offered_rate * FULL_PERMILLE))
+        return max(MIN_PERMILLE, int(allowed_rate / self.offered_rate * FULL_PERMILLE))
 
     def is_worth_sending(self, permille: int) -> bool:
-        """Return whether sidecars are to get a ratio in place of the one they have.
+        """Return whether a ratio differs enough from the published one.
 
-        Small changes are left out, but never the change to or from admitting everything.
+        A change to or from ``FULL_PERMILLE`` is always published.
         """
-        full_changes = (permille == FULL_PERMILLE) != (self.permille == FULL_PERMILLE)
-        return full_changes or abs(permille - self.permille) >= MIN_CHANGE_PERMILLE
+        full_changes = (permille == FULL_PERMILLE) != (self.published_permille == FULL_PERMILLE)
+        return full_changes or abs(permille - self.published_permille) >= MIN_CHANGE_PERMILLE
--- a/src/cranklane/controller/route_api.py
+++ b/src/cranklane/controller/route_api.py
@@ -1,7 +1,7 @@
-"""The operators' HTTP interface for route tables.
+"""HTTP API of the controller for operators.
 
-Owns nothing: reads and writes need this process to lead for certain, else the answer names the
-leader (307) or that none is known (503).
+Only a leader that holds its lease serves the route table. Other replicas redirect to the leader
+(307), or respond with 503 while none is known.
 """
 
 from __future__ import annotations
@@ -19,10 +19,9 @@
 ROUTE_TABLE_PATH = "/v1/route-table"
 
 MAX_DOCUMENT_BYTES = 12 * 1024 * 1024
-"""Longest document that is read, in bytes. A choice: five times a table of 12,000 routes (2.2 MB,
-docs/CAPACITY.md)."""
+"""Maximum size of a document, in bytes."""
 
-_STATUS = {
+_REFUSAL_STATUS = {
     RefusalKind.INVALID: HTTPStatus.BAD_REQUEST,
     RefusalKind.CONFLICT: HTTPStatus.PRECONDITION_FAILED,
     RefusalKind.NOT_LEADING: HTTPStatus.SERVICE_UNAVAILABLE,
@@ -31,7 +30,7 @@
 
 
 class RouteApi:
-    """The WSGI application."""
+    """WSGI application for route tables and the state of the group."""
 
     def __init__(
         self,
@@ -50,12 +49,12 @@
         self.application.add_route("/v1/group", self, suffix="group")
 
     def on_get(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Return the document in force, only while this process leads for certain."""
+        """Return the document in force; requires the leader's lease."""
         if not self._replica.may_read:
-            self._send_elsewhere(request, response)
+            self._redirect_to_leader(request, response)
             return
         document, version = self._store.document, self._store.version
-        # Checked again: the lease must still hold after the document was read.
+        # The lease may have expired before the document was read.
         if not self._replica.may_read:
             response.status = HTTPStatus.SERVICE_UNAVAILABLE
             return
@@ -66,13 +65,13 @@
         response.data = document
 
     def on_post(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Replace the whole route table."""
+        """Replace the route table."""
         if not self._replica.may_read:
-            self._send_elsewhere(request, response)
+            self._redirect_to_leader(request, response)
             return
         data = request.bounded_stream.read(MAX_DOCUMENT_BYTES + 1)
         if len(data) > MAX_DOCUMENT_BYTES:
-            # As a number: falcon's reason phrase differs from the one of HTTPStatus.
+            # A number, because falcon's reason phrase differs from that of HTTPStatus.
             response.status = HTTPStatus.REQUEST_ENTITY_TOO_LARGE.value
             return
         result = self._editor.replace(data)
@@ -85,26 +84,30 @@
             "route_table_refused", reason=refusal.kind.name.lower(), problems=refusal.problems[:3]
         )
         if refusal.kind is RefusalKind.NOT_LEADING:
-            self._send_elsewhere(request, response)
+            self._redirect_to_leader(request, response)
             return
-        response.status = _STATUS[refusal.kind]
+        response.status = _REFUSAL_STATUS[refusal.kind]
         response.media = {"problems": refusal.problems}
 
     def on_get_group(self, _request: falcon.Request, response: falcon.Response) -> None:
-        """Return the group's replicas as this process knows them."""
+        """Return the replicas of the group known to this process."""
         replica = self._replica
         response.media = {
             "term": replica.term,
             "leads": replica.may_read,
             "version": self._store.version,
             "replicas": [
-                {"name": item.name, "voter": item.voter, "leader": item.identity == replica.leader}
-                for item in replica.members.current
+                {
+                    "name": member.name,
+                    "voter": member.voter,
+                    "leader": member.identity == replica.leader,
+                }
+                for member in replica.members.current
             ],
         }
 
-    def _send_elsewhere(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Answer that the leader is to be asked, or that none is known."""
+    def _redirect_to_leader(self, request: falcon.Request, response: falcon.Response) -> None:
+        """Redirect to the leader, or respond with 503 while none is known."""
         leader = self._replica.leader_member()
         if leader is None or leader.identity == self._replica.identity:
             response.status = HTTPStatus.SERVICE_UNAVAILABLE
--- a/src/cranklane/controller/route_editor.py
+++ b/src/cranklane/controller/route_editor.py
@@ -1,6 +1,6 @@
-"""Puts an operator's whole route table in force, or says why not.
+"""Validates and commits an operator's route table.
 
-Owns nothing: the store judges a table, the replica commits it.
+Holds no state: the store decides whether a table is accepted, the replica commits it.
 """
 
 from __future__ import annotations
@@ -20,19 +20,19 @@
 
 
 class RefusalKind(IntEnum):
-    """Why a table was not put in force."""
+    """Reason why a table was not put in force."""
 
     INVALID = 1
     CONFLICT = 2
     NOT_LEADING = 3
-    """Nothing was changed by this process."""
+    """This process does not lead and has changed nothing."""
     UNCERTAIN = 4
-    """Whether it is in force is not known; it may be sent again."""
+    """It is unknown whether the table was committed; the request can be repeated."""
 
 
 @dataclass(frozen=True)
 class TableRefusal:
-    """Why a table was not put in force, with texts for the operator."""
+    """Reason why a table was not put in force, with messages for the operator."""
 
     kind: RefusalKind
     problems: list[str] = field(default_factory=list)
@@ -41,8 +41,8 @@
 class RouteEditor:
     """Checks route tables and commits them.
 
-    :param voters_needed: voters the group must have had before its first table
-        is taken, so that as many disks as planned for may be lost after it.
+    :param voters_needed: number of voters before the first table is accepted, so that an
+        accepted table survives the tolerated loss of disks.
     """
 
     def __init__(self, store: RouteTableStore, replica: Replica, voters_needed: int) -> None:
@@ -51,24 +51,26 @@
         self._voters_needed = voters_needed
 
     def replace(self, data: bytes) -> Result[int, TableRefusal]:
-        """Put a document in force; return its version."""
+        """Commit a document and return its version."""
         if not self._replica.may_read:
-            return Err(TableRefusal(RefusalKind.NOT_LEADING, ["this process does not lead"]))
-        read = self._read(data)
-        if isinstance(read, Err):
-            return read
-        command = read.ok_value
-        expected = self._store.judge(command)
-        if expected is not TableResult.TAKEN:
+            return Err(
+                TableRefusal(RefusalKind.NOT_LEADING, ["this process does not lead the group"])
+            )
+        read_result = self._read_command(data)
+        if isinstance(read_result, Err):
+            return read_result
+        command = read_result.ok_value
+        expected_result = self._store.judge(command)
+        if expected_result is not TableResult.ACCEPTED:
             if not self._replica.may_read:
-                # The lease was lost meanwhile: a newer table may be in force elsewhere.
+                # The lease has expired, so another leader may have a newer table.
                 return Err(TableRefusal(RefusalKind.NOT_LEADING))
-            return Err(self._refusal(expected, command))
+            return Err(self._refusal(expected_result, command))
         if self._store.was_taken(command.digest):
             return Ok(command.version)
         return self._commit(command)
 
-    def _read(self, data: bytes) -> Result[RouteTableCommand, TableRefusal]:
+    def _read_command(self, data: bytes) -> Result[RouteTableCommand, TableRefusal]:
         document = read_json(data)
         if isinstance(document, Err):
             return Err(TableRefusal(RefusalKind.INVALID, document.err_value))
@@ -76,7 +78,11 @@
         digest = _digest(body)
         base = body.get("base", 0)
         if isinstance(base, bool) or not isinstance(base, int) or not 0 <= base <= MAX_NUMBER:
-            return Err(TableRefusal(RefusalKind.INVALID, [f"base: found {base!r}"]))
+            return Err(
+                TableRefusal(
+                    RefusalKind.INVALID, [f"base: found {base!r}; expected a version number or 0"]
+                )
+            )
         table = read_table(body)
         if isinstance(table, Err):
             return Err(TableRefusal(RefusalKind.INVALID, table.err_value))
@@ -84,26 +90,28 @@
 
     def _commit(self, command: RouteTableCommand) -> Result[int, TableRefusal]:
         if not self._replica.members_suffice(self._voters_needed) and self._store.revision == 0:
-            problem = "the group of control processes is still forming"
+            problem = "the group of controllers has too few voters yet; try again"
             return Err(TableRefusal(RefusalKind.UNCERTAIN, [problem]))
         proposed = self._replica.propose(command.pack())
         if isinstance(proposed, Err):
             return Err(TableRefusal(RefusalKind.UNCERTAIN, [proposed.err_value.value]))
         result: TableResult = proposed.ok_value
-        if result is TableResult.TAKEN:
+        if result is TableResult.ACCEPTED:
             return Ok(command.version)
         return Err(self._refusal(result, command))
 
     def _refusal(self, result: TableResult, command: RouteTableCommand) -> TableRefusal:
-        current = self._store.version
+        current_version = self._store.version
         if result is TableResult.CONFLICT:
-            problem = f"builds on version {command.base}, but {current} is in force"
+            problem = f"base is version {command.base}, but version {current_version} is in force"
             return TableRefusal(RefusalKind.CONFLICT, [problem])
-        problem = f"version {command.version} is not above {current}, which is in force"
+        problem = (
+            f"version {command.version} is not above version {current_version}, which is in force"
+        )
         return TableRefusal(RefusalKind.INVALID, [problem])
 
 
 def _digest(document: dict[str, Any]) -> bytes:
-    """Return a digest that equal documents share, however they are laid out."""
+    """Return a digest that ignores key order and white space."""
     text = json.dumps(document, sort_keys=True, separators=(",", ":"))
     return hashlib.sha256(text.encode()).digest()
--- a/src/cranklane/controller/route_store.py
+++ b/src/cranklane/controller/route_store.py
@@ -1,7 +1,7 @@
-"""The route table in force, and which tables were ever taken.
+"""State machine of the route table: the table in force and the digests of all accepted tables.
 
-The store changes only by applying committed commands in order, so that every
-replica comes to the same state. It owns that state; the replica owns its order.
+The store changes only when committed commands are applied in log order, so every replica reaches
+the same state. Owns that state; the replica owns the log.
 """
 
 from __future__ import annotations
@@ -29,103 +29,101 @@
 
 
 class TableResult(IntEnum):
-    """What became of a command."""
+    """Result of a command."""
 
-    TAKEN = 0
-    """In force, or taken before: an equal request gets this answer for good."""
+    ACCEPTED = 0
+    """In force now or earlier: a repeated request always gets this result."""
     CONFLICT = 1
-    """Another version than the one it builds on is in force."""
+    """The version in force differs from the command's base."""
     NOT_NEWER = 2
-    """Its version is not above the one in force."""
+    """The command's version is not above the version in force."""
 
 
 class RouteTableStore:
-    """State of the route table at one replica.
+    """Route table of one replica.
 
-    :ivar revision: how many tables were taken.
-    :ivar version: the operator's version in force, 0 for none.
-    :ivar tenants: those of the table in force.
+    :ivar revision: number of accepted tables.
+    :ivar version: operator's version number of the table in force, 0 for none.
+    :ivar tenants: tenants of the table in force.
     """
 
     def __init__(self) -> None:
         self.revision = 0
         self.version = 0
         self.tenants: list[Tenant] = []
-        self._packed = pack_document(b"")
+        self._packed_document = pack_document(b"")
         self._rows = RowChanges()
-        self._taken: dict[bytes, int] = {}
+        self._accepted_versions: dict[bytes, int] = {}
 
     @property
     def document(self) -> bytes:
-        """The document in force as the operator sent it; empty for none."""
-        return unpack_document(self._packed)
+        """Document in force, byte for byte as the operator sent it; empty for none."""
+        return unpack_document(self._packed_document)
 
     def was_taken(self, digest: bytes) -> bool:
-        """Return whether a table with this digest was ever taken."""
-        return digest in self._taken
+        """Return whether a table with this digest was ever accepted."""
+        return digest in self._accepted_versions
 
     def judge(self, command: RouteTableCommand) -> TableResult:
-        """Return what a command would come to now."""
+        """Return the result that a command would have now."""
         if self.was_taken(command.digest):
-            return TableResult.TAKEN
+            return TableResult.ACCEPTED
         if command.base != self.version:
             return TableResult.CONFLICT
         if command.version <= self.version:
             return TableResult.NOT_NEWER
-        return TableResult.TAKEN
+        return TableResult.ACCEPTED
 
     def apply(self, data: bytes) -> TableResult:
-        """Apply a committed RouteTableCommand and return its answer."""
+        """Apply a committed RouteTableCommand and return its result."""
         command = RouteTableCommand.unpack(data)
         result = self.judge(command)
-        if result is TableResult.TAKEN and not self.was_taken(command.digest):
+        if result is TableResult.ACCEPTED and not self.was_taken(command.digest):
             self.revision += 1
             self.version = command.version
-            self._packed = command.document
+            self._packed_document = command.document
             document = json.loads(self.document)
             self._rows.replace(self.revision, rows_of(document))
             self.tenants = _tenants_of(document)
-            self._taken[command.digest] = command.version
+            self._accepted_versions[command.digest] = command.version
         return result
 
-    # For subscribers.
-
     def delta(self, base: int) -> ConfigDelta:
-        """Return what a subscriber at ``base`` needs to be current.
+        """Return the update for a subscriber at revision ``base``.
 
-        One that has a table gets the rows that have changed since.
+        It holds the rows changed since, or the whole document if those are unknown.
         """
         if base >= self.revision:
             return ConfigDelta(base, self.revision, False, [])
         changed = self._rows.since(base) if base else None
         if changed is not None:
             return ConfigDelta(base, self.revision, False, changed)
-        row = ConfigRow(self.revision, ROUTE_TABLE_ROW, self._packed)
+        row = ConfigRow(self.revision, ROUTE_TABLE_ROW, self._packed_document)
         return ConfigDelta(0, self.revision, True, [row])
 
     def value(self, key: str) -> bytes:
-        """Return a row's value, empty when there is none."""
-        return self._packed if key == ROUTE_TABLE_ROW else b""
-
-    # Snapshots.
+        """Return the value of a row, empty if the row does not exist."""
+        return self._packed_document if key == ROUTE_TABLE_ROW else b""
 
     def pack(self) -> bytes:
-        """Return the whole state for a snapshot."""
-        taken = [TakenTable(version, digest) for digest, version in self._taken.items()]
-        return RouteTableState(self.revision, self.version, self._packed, taken).pack()
+        """Return the encoded state for a snapshot."""
+        accepted = [
+            TakenTable(version, digest) for digest, version in self._accepted_versions.items()
+        ]
+        return RouteTableState(self.revision, self.version, self._packed_document, accepted).pack()
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a snapshot's."""
+        """Replace the state with that of a snapshot."""
         state = RouteTableState.unpack(data) if data else RouteTableState()
         self.revision = state.revision
         self.version = state.version
-        self._packed = state.document or pack_document(b"")
+        self._packed_document = state.document or pack_document(b"")
         document = json.loads(self.document) if self.document else None
-        self._rows.start(self.revision, rows_of(document) if document is not None else {})
+        self._rows.reset(self.revision, rows_of(document) if document is not None else {})
         self.tenants = _tenants_of(document) if document is not None else []
-        self._taken = {item.digest: item.version for item in state.taken}
+        self._accepted_versions = {table.digest: table.version for table in state.taken}
 
 
 def _tenants_of(document: dict[str, Any]) -> list[Tenant]:
-    tenants = document.get("tenants") or {}
-    return [tenant_of(name, value) for name, value in tenants.items()]
+    entries = document.get("tenants") or {}
+    return [tenant_of(name, value) for name, value in entries.items()]
--- a/src/cranklane/controller/sidecar_service.py
+++ b/src/cranklane/controller/sidecar_service.py
@@ -1,8 +1,7 @@
-"""What a controller does for sidecars, besides sending configuration and members.
+"""Heartbeat responses, tenant usage and admission ratios for a controller's sidecars.
 
-It answers heartbeats with the age of its route table, adds up the usage of tenants, and
-publishes which ratio of a tenant's requests sidecars admit. Its usage totals and ratios
-belong to :class:`FleetQuotas`; the age comes from :class:`Confirmation`.
+Heartbeat responses carry the age of the route table, from :class:`StateFreshness`. Usage totals
+and admission ratios belong to :class:`FleetQuotas`.
 """
 
 from __future__ import annotations
@@ -12,8 +11,8 @@
 import gevent
 
 from cranklane.common.units import MICROSECONDS
-from cranklane.controller.confirmation import Confirmation
-from cranklane.controller.fleet_quotas import STEP_SECONDS, FleetQuotas
+from cranklane.controller.confirmation import StateFreshness
+from cranklane.controller.fleet_quotas import QUOTA_INTERVAL_SECONDS, FleetQuotas
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import (
     Heartbeat,
@@ -25,56 +24,56 @@
 
 
 class SidecarService:
-    """Heartbeat answers and admission ratios of one controller.
+    """Implements :class:`SidecarSupport` for one controller.
 
-    :param revision: returns the revision of the route table here.
-    :param on_shares: called when ratios have changed, so that subscribers are notified.
-    :param on_usage: called when totals have changed, so that other controllers are notified.
+    :param revision: returns the revision of this replica's route table.
+    :param on_shares_changed: notifies subscribers of changed admission ratios.
+    :param on_usage_changed: notifies other controllers of changed usage totals.
     """
 
     def __init__(
         self,
-        confirmation: Confirmation,
+        freshness: StateFreshness,
         quotas: FleetQuotas,
         revision: Callable[[], int],
-        on_shares: Callable[[], None],
-        on_usage: Callable[[], None],
+        on_shares_changed: Callable[[], None],
+        on_usage_changed: Callable[[], None],
     ) -> None:
-        self._confirmation = confirmation
+        self._freshness = freshness
         self._quotas = quotas
         self._revision = revision
-        self._on_shares = on_shares
-        self._on_usage = on_usage
+        self._on_shares_changed = on_shares_changed
+        self._on_usage_changed = on_usage_changed
 
     @property
     def usage_position(self) -> int:
-        """Position of the newest usage report."""
+        """Position of the latest usage report."""
         return self._quotas.position
 
     @property
     def shares_position(self) -> int:
-        """Position of the newest change of an admission ratio."""
+        """Position of the latest change of an admission ratio."""
         return self._quotas.shares_position
 
     def run(self) -> None:
-        """Recompute the admission ratios periodically, for ever."""
-        reported = 0
+        """Recompute the admission ratios periodically; runs until the process ends."""
+        notified_position = 0
         while True:
-            gevent.sleep(STEP_SECONDS)
-            if self._quotas.position != reported:
-                reported = self._quotas.position
-                self._on_usage()
+            gevent.sleep(QUOTA_INTERVAL_SECONDS)
+            if self._quotas.position != notified_position:
+                notified_position = self._quotas.position
+                self._on_usage_changed()
             if self._quotas.step():
-                self._on_shares()
+                self._on_shares_changed()
 
     def answer_heartbeat(self, records: RecordConnection, heartbeat: Heartbeat) -> None:
-        """Answer a heartbeat that asks for it.
+        """Answer a heartbeat that requests an answer.
 
-        :raises ConnectionLostError: when the connection is gone.
+        :raises ConnectionLostError: when the connection is closed.
         """
         if heartbeat.asked_us == 0:
             return
-        age = self._confirmation.age()
+        age = self._freshness.age()
         answer = HeartbeatAnswer(
             heartbeat.asked_us,
             age is not None,
@@ -88,15 +87,15 @@
         self._quotas.take_usage(report.usage)
 
     def take_totals(self, totals: UsageTotals) -> None:
-        """Add another controller's totals."""
+        """Add another controller's usage totals."""
         self._quotas.take_totals(totals)
 
     def totals_since(self, position: int) -> UsageTotals:
-        """Return the totals changed after a position, for other controllers."""
+        """Return the usage totals changed after a position, for other controllers."""
         return self._quotas.totals_since(position)
 
     def shares_since(self, position: int) -> TenantShares | None:
-        """Return the ratios changed after a position, None when none has."""
+        """Return the admission ratios changed after a position, or None without a change."""
         if position == self._quotas.shares_position:
             return None
         return TenantShares(position == 0, self._quotas.shares_since(position))
--- a/tests/test_quota_bucket.py
+++ b/tests/test_quota_bucket.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from cranklane.controller.fleet_quotas import STEP_SECONDS
+from cranklane.controller.fleet_quotas import QUOTA_INTERVAL_SECONDS
 from cranklane.controller.quota_bucket import (
     FULL_PERMILLE,
-    LEVEL_SECONDS,
+    LEVEL_CORRECTION_SECONDS,
     MIN_CHANGE_PERMILLE,
     MIN_DEPTH_SECONDS,
     MIN_PERMILLE,
-    RATE_MARGIN,
-    SLACK_RATIO,
+    RATE_MARGIN_FRACTION,
+    SLACK_BURST_FRACTION,
     QuotaBucket,
     QuotaLimit,
     limit_of,
 )
-from cranklane.controller.tenant_usage import OWNER_SECONDS, FleetCount, FleetUsage
+from cranklane.controller.tenant_usage import TOTALS_TTL_SECONDS, FleetCount, FleetUsage
 from cranklane.records.messages import TenantUsage, UsageTotals
 from cranklane.routes.tenants import Tenant
 
@@ -25,10 +25,10 @@
 @pytest.mark.parametrize(
     ("burst", "slack", "ratio", "rate", "depth"),
     [
-        (10.0, 0.0, 1.0, 100 * (1 + RATE_MARGIN), 100 * MIN_DEPTH_SECONDS),
-        (50.0, 0.0, 1.0, 100 * (1 + RATE_MARGIN), 50.0),
-        (50.0, 20.0, 1.0, 100 * (1 + RATE_MARGIN), 50.0 + SLACK_RATIO * 20),
-        (50.0, 0.0, 0.5, 50 * (1 + RATE_MARGIN), 25.0),
+        (10.0, 0.0, 1.0, 100 * (1 + RATE_MARGIN_FRACTION), 100 * MIN_DEPTH_SECONDS),
+        (50.0, 0.0, 1.0, 100 * (1 + RATE_MARGIN_FRACTION), 50.0),
+        (50.0, 20.0, 1.0, 100 * (1 + RATE_MARGIN_FRACTION), 50.0 + SLACK_BURST_FRACTION * 20),
+        (50.0, 0.0, 0.5, 50 * (1 + RATE_MARGIN_FRACTION), 25.0),
         (50.0, 0.0, 0.0, 0.0, 0.0),
     ],
 )
@@ -84,19 +84,19 @@
     ],
 )
 def test_a_small_change_is_not_sent_but_to_or_from_all(known, new, sent):
-    assert QuotaBucket(permille=known).is_worth_sending(new) is sent
+    assert QuotaBucket(published_permille=known).is_worth_sending(new) is sent
 
 
 def test_the_delay_of_totals_is_below_half_of_the_time_of_a_level():
-    assert 2 * STEP_SECONDS < LEVEL_SECONDS / 2
+    assert 2 * QUOTA_INTERVAL_SECONDS < LEVEL_CORRECTION_SECONDS / 2
 
 
 @pytest.mark.parametrize(
     ("known", "reporting", "age", "ratio"),
     [
         (10, 4, 0.0, 0.9),
-        (10, 4, OWNER_SECONDS, 0.9),
-        (10, 4, OWNER_SECONDS + 0.1, 0.4),
+        (10, 4, TOTALS_TTL_SECONDS, 0.9),
+        (10, 4, TOTALS_TTL_SECONDS + 0.1, 0.4),
         (10, 9, 0.0, 1.0),
         (0, 0, 0.0, 1.0),
     ],
--- a/tests/test_route_rows.py
+++ b/tests/test_route_rows.py
@@ -10,7 +10,7 @@
 
 from cranklane.common.logs import logger
 from cranklane.controller.route_store import RouteTableStore
-from cranklane.controller.row_changes import SPARE_DELETIONS, RowChanges
+from cranklane.controller.row_changes import EXTRA_DELETIONS, RowChanges
 from cranklane.records.messages import RouteTableCommand
 from cranklane.routes.document import pack_document, read_json, read_table
 from cranklane.sidecar.table.adopted_table import AdoptedTable
@@ -69,7 +69,7 @@
 def test_a_node_further_behind_than_the_deletions_kept_gets_everything():
     changes = RowChanges()
     changes.replace(1, {"a": b"1"})
-    last = SPARE_DELETIONS + 10
+    last = EXTRA_DELETIONS + 10
     for revision in range(2, last + 1):
         changes.replace(revision, {"a": b"1", f"b{revision}": b"1"})
     assert changes.since(1) is None
