--- a/src/cranklane/control/__init__.py
+++ b/src/cranklane/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control program: keeps operators' policy documents and their compiled rows for nodes."""
+"""The control process: stores policy documents and sends their compiled rows to nodes."""
--- a/src/cranklane/control/backup.py
+++ b/src/cranklane/control/backup.py
@@ -1,6 +1,6 @@
-"""Back-ups of the configuration: taken from a leader, checked and restored offline.
+"""Back-ups of the configuration: created by a leader, inspected and restored offline.
 
-Owns the format: a checksum and a LogSnapshot. Offline work reads and writes the files of a
+Owns the format: a checksum and a LogSnapshot. Inspection and restoration work on the files of a
 stopped process, with the same code as the process itself.
 """
 
@@ -19,16 +19,18 @@
 from cranklane.runtime.interface import Storage
 
 REVISIONS_SKIPPED = 1_000_000
-"""Revisions by which a restored group starts above its back-up: more edits than can have been
-accepted after it. A choice: two years at 1,300 a day."""
+"""Revisions that a restored group skips. Exceeds the number of edits that may have been accepted
+after the back-up, so that no node has a later revision."""
 
 
 @dataclass(frozen=True)
 class Inspection:
-    """What a back-up or a data folder holds.
+    """Contents of a back-up or a data folder.
 
-    :ivar entries: entries after the snapshot; they may not all be committed.
-    :ivar documents: (name, version) by name.
+    :ivar entries: number of log entries after the snapshot; some may not be committed.
+    :ivar edits: number of edits among these entries.
+    :ivar torn_bytes: bytes of an incomplete last write that were cut from the log.
+    :ivar documents: (name, version) of each document, sorted by name.
     """
 
     term: int
@@ -42,49 +44,50 @@
     replicas: list[str]
 
 
-def take(replica: Replica) -> bytes:
-    """Return a back-up of all that is applied at a leader, with its checksum."""
+def create(replica: Replica) -> bytes:
+    """Return a back-up of a leader's applied state, with its checksum."""
     return add_checksum(replica.snapshot().pack())
 
 
-def read(data: bytes) -> LogSnapshot:
-    """Return a back-up's snapshot.
+def decode(data: bytes) -> LogSnapshot:
+    """Return the snapshot in a back-up.
 
-    :raises DamagedLogError: when it is damaged.
+    :raises DamagedLogError: when the back-up is corrupted.
     """
     payload = verified_payload(data)
     if payload is None:
-        raise DamagedLogError("the back-up is damaged: its checksum does not match")
+        raise DamagedLogError("the back-up is corrupted: its checksum does not match")
     try:
         snapshot = LogSnapshot.unpack(payload)
         StoreState.unpack(snapshot.state)
     except MalformedRecordError as error:
-        raise DamagedLogError(f"the back-up is damaged: {error}") from error
+        raise DamagedLogError(f"the back-up is corrupted: {error}") from error
     return snapshot
 
 
 def inspect_backup(data: bytes) -> Inspection:
-    """Return what a back-up holds.
+    """Return the contents of a back-up.
 
-    :raises DamagedLogError: when it is damaged.
+    :raises DamagedLogError: when the back-up is corrupted.
     """
-    snapshot = read(data)
+    snapshot = decode(data)
     return _inspection(snapshot, snapshot.index, [], 0)
 
 
 def inspect_folder(storage: Storage) -> Inspection:
-    """Return what the data folder of a stopped process holds.
+    """Return the contents of a stopped process's data folder.
 
-    A torn tail is cut, as the process itself would do when it starts.
+    Cuts an incomplete last write from the log, as the process does when it starts.
 
-    :raises DamagedLogError: when it cannot be trusted.
+    :raises DamagedLogError: when the log or the vote file is corrupted, or the vote file is
+        missing.
     """
     log = Log(storage)
     torn = log.open()
     if storage.read(VOTE_FILE) is not None:
         VoteFile(storage).open(Random(), has_log=True)
     elif log.last_index:
-        raise DamagedLogError("the vote file is missing beside a log")
+        raise DamagedLogError("the vote file is missing, but the log has entries")
     entries = log.between(log.snapshot.index + 1, log.last_index)
     edits = [EditCommand.unpack(entry.data) for entry in entries if entry.kind == EntryKind.COMMAND]
     return _inspection(log.snapshot, log.last_index, edits, torn, len(entries))
@@ -112,17 +115,16 @@
 
 
 def restore(storage: Storage, data: bytes) -> LogSnapshot:
-    """Put a back-up into an empty data folder.
+    """Write a back-up into an empty data folder.
 
-    The folder becomes a new replica that belongs to no group. Started as the
-    founder, it founds one with the back-up's state. Its revisions go on far above
-    those that nodes may have from edits after the back-up, so that each node takes
-    the whole state in place of its own.
+    A process started on this folder as the founder forms a new group with the back-up's state.
+    Skips ``REVISIONS_SKIPPED`` revisions, so that nodes with edits newer than the back-up
+    replace their whole configuration.
 
-    :raises DamagedLogError: when the back-up is damaged.
+    :raises DamagedLogError: when the back-up is corrupted.
     :raises FileExistsError: when the folder is not empty.
     """
-    snapshot = read(data)
+    snapshot = decode(data)
     if storage.names():
         raise FileExistsError("the data folder is not empty")
     snapshot.members = []
--- a/src/cranklane/control/compilation.py
+++ b/src/cranklane/control/compilation.py
@@ -1,4 +1,4 @@
-"""Compiles the documents of a store; parses again only those whose text has changed.
+"""Compiles policy documents into rows, with a cache of parsed documents.
 
 Owns the parsed trees; the documents and rows belong to the store.
 """
@@ -18,10 +18,9 @@
 
 
 class DocumentCompiler:
-    """Turns a new text of a document into the rows that it changes.
+    """Compiles a new text of a document into the changed rows.
 
-    Parsing costs far more than compiling, so that each document's tree is kept
-    beside the text it was read from.
+    Caches the parsed tree of each document, because parsing takes far longer than compiling.
     """
 
     def __init__(self, store: ConfigurationStore) -> None:
@@ -29,25 +28,29 @@
         self._parsed: dict[str, tuple[str, Policy]] = {}
 
     def compile(self, name: str, text: str) -> Result[list[ConfigRow], PolicyError]:
-        """Return the rows that a new text of a document changes.
+        """Return the rows changed by a new text of a document; the store stays unchanged.
 
-        Nothing of the store changes. A row without a value is a deletion.
+        A row without a value is a deletion.
         """
         texts = {document.name: document.text for document in self._store.documents()}
         try:
-            new = parse(text)
-            _check_document(name, new)
-            trees = {other: self._tree(other, texts[other]) for other in texts if other != name}
-            compiled = compile_policy(_merge({**trees, name: new}))
+            new_tree = parse(text)
+            _check_document(name, new_tree)
+            trees = {
+                other_name: self._parsed_tree(other_name, texts[other_name])
+                for other_name in texts
+                if other_name != name
+            }
+            compiled = compile_policy(_merge({**trees, name: new_tree}))
         except PolicyError as error:
             return Err(error)
-        self._parsed[name] = (text, new)
+        self._parsed[name] = (text, new_tree)
         return Ok(self._store.changed_rows(compiled))
 
-    def _tree(self, name: str, text: str) -> Policy:
-        known = self._parsed.get(name)
-        if known is not None and known[0] == text:
-            return known[1]
+    def _parsed_tree(self, name: str, text: str) -> Policy:
+        cached = self._parsed.get(name)
+        if cached is not None and cached[0] == text:
+            return cached[1]
         tree = parse(text)
         self._parsed[name] = (text, tree)
         return tree
@@ -57,10 +60,12 @@
     names = [tenant.name for tenant in policy.tenants]
     if name == ROOT:
         if names:
-            raise PolicyError(["the root document holds no tenants; each has a document"])
+            raise PolicyError(
+                ["the root document must not contain tenants; each tenant has its own document"]
+            )
         return
     if names not in ([name], []) or states_anything(policy):
-        raise PolicyError([f"document {name} holds the tenant {name} and nothing else"])
+        raise PolicyError([f"document {name} may only contain the tenant {name}"])
 
 
 def _merge(trees: dict[str, Policy]) -> Policy:
--- a/src/cranklane/control/editor.py
+++ b/src/cranklane/control/editor.py
@@ -1,6 +1,6 @@
-"""Turns operators' edits into committed commands, one at a time.
+"""Compiles and commits operators' edits, one at a time.
 
-Owns the order of edits on this process; the replica commits them and the store applies them.
+Owns the order of edits in this process; the replica commits them and the store applies them.
 """
 
 from __future__ import annotations
@@ -18,17 +18,16 @@
 from cranklane.replication.replica import Replica
 from cranklane.runtime.interface import Runtime
 
-MAX_COMPILATIONS = 5
-"""Compilations of one edit, as other edits commit meanwhile, before the operator is asked to
-try again. A choice, made to bound the loop."""
+MAX_COMPILE_ATTEMPTS = 5
+"""Compilations of one edit before it is refused, if other edits are committed in between."""
 
 
 @dataclass(frozen=True)
 class Edit:
-    """What an operator asks for.
+    """Replacement of one document's text by an operator.
 
-    :ivar base: the document's version the edit started from.
-    :ivar request: an id that a resend carries again.
+    :ivar base: version of the document that the edit is based on, 0 for a new document.
+    :ivar request: id of the request; a retry carries the same id.
     """
 
     document: str
@@ -40,11 +39,11 @@
 
 @dataclass(frozen=True)
 class EditProblem:
-    """Why an edit was not accepted.
+    """Reason why an edit was not accepted.
 
-    :ivar status: HTTP status.
-    :ivar not_run: whether the edit certainly changed nothing.
-    :ivar leader: where operators reach the leader, when this is another process.
+    :ivar status: HTTP status of the response.
+    :ivar not_run: True if the edit has changed nothing; False if that is unknown.
+    :ivar leader: operators' address of the leader, if known and another process.
     """
 
     status: HTTPStatus
@@ -54,24 +53,24 @@
 
 
 class Editor:
-    """Checks, compiles and commits edits."""
+    """Compiles and commits edits."""
 
     def __init__(self, runtime: Runtime, store: ConfigurationStore, replica: Replica) -> None:
         self._runtime = runtime
         self._store = store
         self._replica = replica
         self._compiler = DocumentCompiler(store)
-        self._editing = Semaphore()
+        self._edit_lock = Semaphore()
 
     def submit(self, edit: Edit) -> Result[EditAnswer, EditProblem]:
-        """Commit an edit; a resend gets the first answer."""
-        with self._editing:
-            for _ in range(MAX_COMPILATIONS):
+        """Commit an edit and return its answer; a retry gets the answer of the first attempt."""
+        with self._edit_lock:
+            for _ in range(MAX_COMPILE_ATTEMPTS):
                 if not self._replica.may_read:
-                    return Err(self.not_leading())
-                known = self._store.answered(edit.operator, edit.request)
-                if known is not None:
-                    return Ok(known)
+                    return Err(self.not_leader_problem())
+                earlier = self._store.earlier_answer(edit.operator, edit.request)
+                if earlier is not None:
+                    return Ok(earlier)
                 compiled = self._compiler.compile(edit.document, edit.text)
                 if isinstance(compiled, Err):
                     return Err(
@@ -80,30 +79,32 @@
                 command = self._command(edit, compiled.ok_value)
                 proposed = self._replica.propose(command.pack())
                 if isinstance(proposed, Err):
-                    return Err(self._not_committed(proposed.err_value))
+                    return Err(self._commit_problem(proposed.err_value))
                 answer: EditAnswer = proposed.ok_value
                 if answer.result is not EditResult.STALE:
                     return Ok(answer)
         return Err(
-            EditProblem(HTTPStatus.SERVICE_UNAVAILABLE, ["other edits came in between; try again"])
+            EditProblem(
+                HTTPStatus.SERVICE_UNAVAILABLE, ["other edits were committed in between; try again"]
+            )
         )
 
-    def not_leading(self) -> EditProblem:
-        """Return the answer of a process that does not lead for certain."""
+    def not_leader_problem(self) -> EditProblem:
+        """Return the problem of a request to a process without the leader's lease."""
         leader = self._replica.leader_member()
         if leader is None or leader.identity == self._replica.identity:
-            return EditProblem(
-                HTTPStatus.SERVICE_UNAVAILABLE, ["no control process leads now; try again"]
-            )
-        problem = f"this control process does not lead; {leader.name} at {leader.http} does"
+            return EditProblem(HTTPStatus.SERVICE_UNAVAILABLE, ["no leader is known; try again"])
+        problem = (
+            f"this control process is not the leader; the leader is {leader.name} at {leader.http}"
+        )
         return EditProblem(HTTPStatus.SERVICE_UNAVAILABLE, [problem], leader=leader.http)
 
-    def _not_committed(self, failure: ProposalFailure) -> EditProblem:
+    def _commit_problem(self, failure: ProposalFailure) -> EditProblem:
         if failure is ProposalFailure.NOT_LEADER:
-            return self.not_leading()
+            return self.not_leader_problem()
         return EditProblem(
             HTTPStatus.SERVICE_UNAVAILABLE,
-            ["whether the edit was accepted is not known; send it again with its request id"],
+            ["it is unknown whether the edit was accepted; retry with the same request id"],
             not_run=False,
         )
 
--- a/src/cranklane/control/operator_api.py
+++ b/src/cranklane/control/operator_api.py
@@ -1,7 +1,7 @@
-"""The operators' HTTP interface of a control process.
+"""HTTP API of a control process for operators.
 
-Owns nothing: it reads requests, asks the store, the editor and the membership changes, and
-writes answers. What only a leader may answer is refused elsewhere with where the leader is.
+Holds no state: decodes requests and calls the store, the editor and the membership changes.
+Requests that need the leader are refused by other replicas with the leader's address.
 """
 
 from __future__ import annotations
@@ -25,19 +25,20 @@
 
 DEFAULT_WAIT_SECONDS = 10.0
 MAX_WAIT_SECONDS = 60.0
-"""Longest wait for a version to be in force. A choice: below usual timeouts of HTTP clients."""
+"""Longest wait for a version to be in force; below usual timeouts of HTTP clients."""
 
-WAIT_STEP_SECONDS = 0.05
-"""Between looks at the nodes during a wait. A choice."""
+WAIT_POLL_SECONDS = 0.05
+"""Interval at which a wait checks the versions of nodes."""
 
-MAX_DOCUMENT_BYTES = 1024 * 1024
-"""Longest text of a document, in characters. A choice: far above a tenant's policy."""
+MAX_DOCUMENT_CHARACTERS = 1024 * 1024
+"""Maximum length of a document's text."""
 
 
 class OperatorApi:
-    """The WSGI application.
+    """WSGI application for documents, status, replicas and back-ups.
 
-    :param operators: who may use it.
+    :param clock: returns monotonic seconds.
+    :param operators: operators with access.
     """
 
     def __init__(
@@ -69,29 +70,29 @@
         add("/v1/replicas/{name}", self, suffix="replica")
         add("/v1/snapshot", self, suffix="snapshot")
 
-    def _operator(self, request: falcon.Request) -> Operator:
+    def _authenticate(self, request: falcon.Request) -> Operator:
         operator = self._operators.authenticate(request.auth)
         if operator is None:
-            raise falcon.HTTPUnauthorized(description="an operator's token is needed")
+            raise falcon.HTTPUnauthorized(description="the bearer token of an operator is required")
         return operator
 
-    def _within_scope(self, request: falcon.Request, name: str) -> Operator:
-        operator = self._operator(request)
-        if not operator.may_use(name):
-            # Not "forbidden": another tenant's operator must not learn what exists.
+    def _authorize(self, request: falcon.Request, name: str) -> Operator:
+        operator = self._authenticate(request)
+        if not operator.may_access(name):
+            # 404 rather than 403: an operator must not learn which other documents exist.
             raise falcon.HTTPNotFound(description=f"no document {name}")
         return operator
 
     def on_get_documents(self, request: falcon.Request, response: falcon.Response) -> None:
-        """List the documents within the operator's scope."""
-        operator = self._operator(request)
-        if not self._may_read(response):
+        """Return names and versions of the documents in the operator's scope."""
+        operator = self._authenticate(request)
+        if not self._check_leader(response):
             return
         response.media = {
             "documents": [
                 {"name": document.name, "version": document.version}
                 for document in self._store.documents()
-                if operator.may_use(document.name)
+                if operator.may_access(document.name)
             ]
         }
 
@@ -99,8 +100,8 @@
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
         """Return one document."""
-        self._within_scope(request, name)
-        if not self._may_read(response):
+        self._authorize(request, name)
+        if not self._check_leader(response):
             return
         document = self._store.document(name)
         if document is None:
@@ -110,8 +111,8 @@
     def on_put_document(
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
-        """Edit one document; answers 409 with the newer text on a conflict."""
-        operator = self._within_scope(request, name)
+        """Edit one document; on a conflict, respond with 409 and the current text."""
+        operator = self._authorize(request, name)
         edit = _read_edit(request, name, operator.name)
         result = self._editor.submit(edit)
         if isinstance(result, Err):
@@ -130,8 +131,8 @@
 
     def on_get_history(self, request: falcon.Request, response: falcon.Response, name: str) -> None:
         """Return a document's accepted edits, newest first."""
-        self._within_scope(request, name)
-        if not self._may_read(response):
+        self._authorize(request, name)
+        if not self._check_leader(response):
             return
         response.media = {
             "history": [
@@ -147,56 +148,58 @@
         }
 
     def on_get_wait(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Return when a version is in force on all live nodes, or who is behind."""
-        self._operator(request)
+        """Wait until a version is in force on all live nodes; return the nodes still behind."""
+        self._authenticate(request)
         version = request.get_param_as_int("version", required=True, min_value=0)
         seconds = request.get_param_as_float(
             "seconds", default=DEFAULT_WAIT_SECONDS, min_value=0.0, max_value=MAX_WAIT_SECONDS
         )
-        until = self._clock() + seconds
+        deadline = self._clock() + seconds
         behind = self._status.nodes_behind(version)
-        while behind and self._clock() < until:
-            gevent.sleep(WAIT_STEP_SECONDS)
+        while behind and self._clock() < deadline:
+            gevent.sleep(WAIT_POLL_SECONDS)
             behind = self._status.nodes_behind(version)
         response.media = {"version": version, "in_force": not behind, "behind": behind}
 
     def on_get_status(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Return the state of control and the members it knows."""
-        operator = self._operator(request)
-        response.media = self._status.within(operator.scope)
+        """Return the status of this process and the members in the operator's scope."""
+        operator = self._authenticate(request)
+        response.media = self._status.for_scope(operator.scope)
 
     def on_get_replicas(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Return the replicas of the control group as this process knows them."""
-        self._for_all(request)
+        """Return the replicas of the group known to this process."""
+        self._require_all_tenants(request)
         response.media = self._status.group()
 
     def on_delete_replica(
         self, request: falcon.Request, response: falcon.Response, name: str
     ) -> None:
-        """Remove a replica from the group, unless that puts its quorum at risk."""
-        self._for_all(request)
-        if self._may_read(response):
-            self._write_change(response, self._changes.remove(name))
+        """Remove a replica from the group, unless this puts the quorum at risk."""
+        self._require_all_tenants(request)
+        if self._check_leader(response):
+            self._write_change_result(response, self._changes.remove(name))
 
     def on_put_replica(self, request: falcon.Request, response: falcon.Response, name: str) -> None:
-        """State whether a learner is to vote once it has caught up."""
-        self._for_all(request)
+        """Set whether a learner becomes a voter once it has caught up."""
+        self._require_all_tenants(request)
         media = request.get_media()
         voter = media.get("voter") if isinstance(media, dict) else None
         if not isinstance(voter, bool):
             raise falcon.HTTPBadRequest(description="voter: expected true or false")
-        if self._may_read(response):
-            self._write_change(response, self._changes.promote(name, voter))
+        if self._check_leader(response):
+            self._write_change_result(response, self._changes.promote(name, voter))
 
     def on_get_snapshot(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Return a back-up of all that is accepted, in base 64."""
-        self._for_all(request)
-        if self._may_read(response):
-            data = backup.take(self._replica)
+        """Return a back-up of the configuration, in base64."""
+        self._require_all_tenants(request)
+        if self._check_leader(response):
+            data = backup.create(self._replica)
             response.media = {"snapshot": base64.b64encode(data).decode()}
 
     @staticmethod
-    def _write_change(response: falcon.Response, result: Result[None, ChangeFailure]) -> None:
+    def _write_change_result(
+        response: falcon.Response, result: Result[None, ChangeFailure]
+    ) -> None:
         if isinstance(result, Ok):
             response.media = {"result": "accepted"}
             return
@@ -204,32 +207,37 @@
         response.status = status
         response.media = {"problems": [problem]}
 
-    def _for_all(self, request: falcon.Request) -> None:
-        if self._operator(request).scope != ALL_TENANTS:
-            raise falcon.HTTPForbidden(description="an operator of all tenants is needed")
+    def _require_all_tenants(self, request: falcon.Request) -> None:
+        if self._authenticate(request).scope != ALL_TENANTS:
+            raise falcon.HTTPForbidden(
+                description="an operator with the scope of all tenants is required"
+            )
 
-    def _may_read(self, response: falcon.Response) -> bool:
-        """Answer that another process leads, unless this one does for certain."""
+    def _check_leader(self, response: falcon.Response) -> bool:
+        """Return whether this process holds the leader's lease; otherwise write the refusal."""
         if self._replica.may_read:
             return True
-        _write_problem(response, self._editor.not_leading())
+        _write_problem(response, self._editor.not_leader_problem())
         return False
 
 
 _CHANGE_PROBLEMS = {
     ChangeFailure.NOT_LEADER: (
         HTTPStatus.SERVICE_UNAVAILABLE,
-        "this control process does not lead",
+        "this control process is not the leader",
+    ),
+    ChangeFailure.BUSY: (
+        HTTPStatus.CONFLICT,
+        "another membership change is in progress; try again",
     ),
-    ChangeFailure.BUSY: (HTTPStatus.CONFLICT, "another change of replicas is under way; try again"),
-    ChangeFailure.UNKNOWN_NAME: (HTTPStatus.NOT_FOUND, "no replica of this name"),
+    ChangeFailure.UNKNOWN_NAME: (HTTPStatus.NOT_FOUND, "no replica has this name"),
     ChangeFailure.QUORUM_AT_RISK: (
         HTTPStatus.CONFLICT,
-        "too few of the voters that would be left answer now; add one first",
+        "too few of the remaining voters respond; add a voter first",
     ),
     ChangeFailure.NOT_KNOWN: (
         HTTPStatus.SERVICE_UNAVAILABLE,
-        "whether the change was made is not known; look again",
+        "it is unknown whether the change was committed; check the list of replicas",
     ),
 }
 
@@ -251,15 +259,15 @@
         f"{key}: found {media.get(key)!r}; expected {expected}"
         for key, kind, expected in (
             ("text", str, "the document's text"),
-            ("base", int, "the version the edit started from, 0 for a new document"),
-            ("request", str, "an id that a resend carries again"),
+            ("base", int, "the version that the edit is based on, 0 for a new document"),
+            ("request", str, "an id that retries repeat"),
         )
         if not isinstance(media.get(key), kind)
     ]
-    if not problems and len(media["text"]) > MAX_DOCUMENT_BYTES:
-        problems.append(f"text: longer than {MAX_DOCUMENT_BYTES} characters")
+    if not problems and len(media["text"]) > MAX_DOCUMENT_CHARACTERS:
+        problems.append(f"text: longer than {MAX_DOCUMENT_CHARACTERS} characters")
     if not problems and not media["request"]:
-        problems.append("request: is empty")
+        problems.append("request: is empty; expected an id that retries repeat")
     if problems:
         raise falcon.HTTPBadRequest(description="; ".join(problems))
     return Edit(name or ROOT, media["text"], media["base"], operator, media["request"])
--- a/src/cranklane/control/operators.py
+++ b/src/cranklane/control/operators.py
@@ -1,6 +1,6 @@
-"""Who may drive the system: operators by their tokens, each with a scope.
+"""Authentication and scopes of operators.
 
-Owns the digests of the tokens, as the settings name them; the tokens themselves are not kept.
+Owns the digests of their tokens, from the settings; the tokens themselves are not stored.
 """
 
 from __future__ import annotations
@@ -10,40 +10,43 @@
 from cranklane.common.secret_digest import secret_digest
 
 ALL_TENANTS = "*"
-"""Scope of an operator who may see and change every tenant."""
+"""Scope that covers all tenants and the root document."""
 
 _BEARER = "bearer "
 
 
 @dataclass(frozen=True)
 class Operator:
-    """Who drives the system.
+    """An authenticated operator.
 
-    :ivar scope: the one tenant this operator may see and change, or ``ALL_TENANTS``.
+    :ivar scope: the tenant that the operator may read and edit, or ``ALL_TENANTS``.
     """
 
     name: str
     scope: str
 
-    def may_use(self, document: str) -> bool:
+    def may_access(self, document: str) -> bool:
         """Return whether a document is within the operator's scope."""
         return self.scope in (ALL_TENANTS, document)
 
 
 class Operators:
-    """The operators by their tokens.
+    """Operators by the digests of their tokens.
 
-    :param lines: ``name:scope:sha256`` for each token.
+    :param entries: ``name:scope:sha256`` for each token.
     """
 
-    def __init__(self, lines: list[str]) -> None:
+    def __init__(self, entries: list[str]) -> None:
         self._by_digest: dict[str, Operator] = {}
-        for line in lines:
-            name, scope, digest = line.split(":")
+        for entry in entries:
+            name, scope, digest = entry.split(":")
             self._by_digest[digest] = Operator(name, scope)
 
     def authenticate(self, credentials: str | None) -> Operator | None:
-        """Return whose token an Authorization header carries, or None."""
+        """Return the operator of a bearer token, or None.
+
+        :param credentials: value of the Authorization header.
+        """
         if credentials is None or not credentials.lower().startswith(_BEARER):
             return None
         token = credentials[len(_BEARER) :].strip()
--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -1,4 +1,7 @@
-"""A control process that keeps policies: its parts put together, started and stopped."""
+"""Control process: a replica of the configuration that serves nodes and operators.
+
+Owns the components and the order in which they start and stop.
+"""
 
 from __future__ import annotations
 
@@ -34,29 +37,29 @@
 )
 
 GROUP = "control"
-"""Name of the group of replicas that holds the configuration."""
+"""Name of the replication group of the configuration."""
 
 STALE_SECONDS = 3.0
-"""Time out of touch with the group after which subscribers are sent away. A choice: above the
-longest election timeout (2 s), so that an ordinary election sends nobody away."""
+"""Time without contact to the group after which subscriptions are ended. Above the longest
+election timeout (2 s), so that an ordinary election ends none."""
 
 TIMING = NodeServiceTiming(
     out_of_touch_after=STALE_SECONDS, last_resort_stay=10.0, contact_check=0.5, expiry_check=1.0
 )
-"""Choices: a node that reaches no process in touch looks for one each 10 s; leases (6 s) and
-contact are checked several times within their times."""
+"""A node in a last-resort subscription looks for a process in touch every 10 s. The checks run
+several times within a member lease (6 s) and ``STALE_SECONDS``."""
 
 
-def _are_operators(value: Any) -> bool:
+def _are_operator_entries(value: Any) -> bool:
     return isinstance(value, list) and all(
-        isinstance(line, str) and len(line.split(":")) == 3 and len(line.split(":")[2]) == 64
-        for line in value
+        isinstance(entry, str) and len(entry.split(":")) == 3 and len(entry.split(":")[2]) == 64
+        for entry in value
     )
 
 
 OPERATORS = Check(
     "a list of name:scope:sha256, the scope a tenant or *",
-    _are_operators,
+    _are_operator_entries,
     lambda text: text.split(","),
 )
 
@@ -66,7 +69,7 @@
     """Settings of a control process."""
 
     name: str = setting(NAME, help="name of this process, unique in the fleet")
-    zone: str = setting(NAME, help="zone this machine stands in")
+    zone: str = setting(NAME, help="zone of this machine")
     listen: str = setting(ADDRESS, help="address for nodes and other control processes")
     http: str = setting(ADDRESS, help="address for operators")
     data: str = setting(TEXT, help="data folder")
@@ -75,13 +78,15 @@
         ADDRESSES_OR_NONE, [], help="listen addresses of the other control processes"
     )
     founder: bool = setting(
-        YES_OR_NO, False, help="found the group when all replicas named say there is none"
+        YES_OR_NO, False, help="form a new group when every replica listed belongs to none"
+    )
+    voter: bool = setting(
+        YES_OR_NO, True, help="vote; otherwise replicate and serve nodes as a learner"
     )
-    voter: bool = setting(YES_OR_NO, True, help="vote, or only follow and serve nodes")
 
 
 class ControlProcess:
-    """One control process: a replica of the configuration that serves nodes."""
+    """One replica of the configuration that serves nodes and operators."""
 
     def __init__(self, runtime: Runtime, settings: ControlSettings) -> None:
         self.runtime = runtime
@@ -104,7 +109,7 @@
         self.editor = Editor(runtime, self.store, self.replica)
 
     def start(self) -> None:
-        """Come back to the last state, then open the ports and find the group."""
+        """Load the stored state, open the ports and join or form the group."""
         settings = self.settings
         self.replica.open()
         self._listener = self.runtime.listen(parse_address(settings.listen), self._port.accept)
@@ -125,7 +130,7 @@
         self._log.info("started", revision=self.store.revision)
 
     def stop(self) -> bool:
-        """Stop; everything acknowledged is on disk already."""
+        """Stop accepting requests; acknowledged entries are already on disk."""
         self.http.stop_accepting()
         self._listener.close()
         self._log.info("stopped", revision=self.store.revision)
@@ -136,5 +141,5 @@
 
     @property
     def in_touch(self) -> bool:
-        """Whether this process was lately in touch with its group's leader."""
+        """Whether this process was recently in touch with its group's leader."""
         return self._nodes.in_touch
--- a/src/cranklane/control/status.py
+++ b/src/cranklane/control/status.py
@@ -1,6 +1,6 @@
-"""What operators may see of a control process, its group and its members.
+"""Status of a control process, its group and its members for operators.
 
-Reads the store, the replica and the members that other modules own; owns nothing.
+Holds no state: reads the store, the replica and the membership.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 class ControlStatus:
     """Status reports of one control process.
 
-    :param name: the process's name.
+    :param name: name of the process.
     """
 
     def __init__(
@@ -29,10 +29,10 @@
         self._replica = replica
         self._nodes = nodes
 
-    def within(self, scope: str) -> dict[str, Any]:
-        """Return the status of the process and of the members within a scope.
+    def for_scope(self, scope: str) -> dict[str, Any]:
+        """Return the status of the process and of the members in a scope.
 
-        :param scope: a tenant's name or ``ALL_TENANTS``.
+        :param scope: name of a tenant, or ``ALL_TENANTS``.
         """
         leader = self._replica.leader_member()
         return {
@@ -58,7 +58,7 @@
         }
 
     def group(self) -> dict[str, Any]:
-        """Return the state of the process's replica and its group."""
+        """Return the status of the replica and its group."""
         replica = self._replica
         return {
             "name": self._name,
@@ -85,7 +85,7 @@
         }
 
     def nodes_behind(self, version: int) -> list[str]:
-        """Return the names of live nodes where a version is not in force yet."""
+        """Return the names of live nodes with a version below the given one."""
         membership = self._nodes.membership
         return sorted(
             member.node
--- a/src/cranklane/control/store.py
+++ b/src/cranklane/control/store.py
@@ -1,7 +1,7 @@
-"""The configuration store: documents, compiled rows, history, answered requests.
+"""State machine of the configuration: documents, compiled rows, history and answers to requests.
 
-The store changes only by applying committed commands in order, so that every
-replica comes to the same state. It owns that state; the replica owns its order.
+The store changes only when committed commands are applied in log order, so every replica reaches
+the same state. Owns that state; the replica owns the log.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 )
 
 ROOT = "root"
-"""Name of the document with the settings above all tenants."""
+"""Name of the document with the settings for all tenants."""
 
-HISTORY_LIMIT = 2000
-"""Accepted edits kept with their texts. A choice: about a day and a half at 1,300 a day."""
+HISTORY_ENTRIES_KEPT = 2000
+"""Number of accepted edits kept with their texts."""
 
-REQUEST_LIMIT = 10_000
-"""Answers to operators' requests kept for resends: a week at 1,300 a day."""
+REQUESTS_KEPT = 10_000
+"""Number of answers to operators' requests kept for retries."""
 
 
 class EditResult(IntEnum):
-    """What became of an edit."""
+    """Result of an edit."""
 
     ACCEPTED = 0
     CONFLICT = 1
     STALE = 2
-    """Compiled against a state that has changed; to be compiled again."""
+    """Compiled against an earlier revision; must be compiled again."""
 
 
 @dataclass(frozen=True)
 class EditAnswer:
     """Answer to an edit.
 
-    :ivar version: the document's version now; for an accepted edit, the new one.
-    :ivar repeated: whether this is the first answer given again.
+    :ivar version: current version of the document; the new one for an accepted edit.
+    :ivar repeated: whether this is the stored answer of an earlier attempt.
     """
 
     result: EditResult
@@ -54,9 +54,9 @@
 
 
 class ConfigurationStore:
-    """State of the configuration at one replica.
+    """Configuration of one replica.
 
-    :ivar revision: number of the newest accepted edit, of any document.
+    :ivar revision: number of the latest accepted edit of any document.
     """
 
     def __init__(self) -> None:
@@ -68,26 +68,26 @@
         self._requests: OrderedDict[tuple[str, str], RequestAnswer] = OrderedDict()
 
     def document(self, name: str) -> Document | None:
-        """Return a document, or None."""
+        """Return a document, or None if it does not exist."""
         return self._documents.get(name)
 
     def documents(self) -> list[Document]:
-        """Return all documents by name."""
+        """Return all documents, sorted by name."""
         return [self._documents[name] for name in sorted(self._documents)]
 
     def history(self, name: str) -> list[HistoryEntry]:
         """Return a document's accepted edits, newest first."""
         return [entry for entry in reversed(self._history) if entry.document == name]
 
-    def answered(self, operator: str, request: str) -> EditAnswer | None:
-        """Return the answer given to a request before, or None."""
-        known = self._requests.get((operator, request))
-        if known is None:
+    def earlier_answer(self, operator: str, request: str) -> EditAnswer | None:
+        """Return the stored answer to a request, or None."""
+        stored = self._requests.get((operator, request))
+        if stored is None:
             return None
-        return EditAnswer(EditResult(known.result), known.version, repeated=True)
+        return EditAnswer(EditResult(stored.result), stored.version, repeated=True)
 
     def changed_rows(self, compiled: dict[str, bytes]) -> list[ConfigRow]:
-        """Return the rows in which a whole compiled policy differs from this state.
+        """Return the rows in which a complete compiled policy differs from the store.
 
         A row without a value is a deletion.
         """
@@ -99,30 +99,30 @@
     def apply(self, data: bytes) -> EditAnswer:
         """Apply a committed edit and return its answer.
 
-        :param data: an EditCommand.
+        :param data: an encoded EditCommand.
         """
         return self.edit(EditCommand.unpack(data))
 
     def edit(self, command: EditCommand) -> EditAnswer:
         """Apply an edit and return its answer."""
-        known = self.answered(command.operator, command.request)
-        if known is not None:
-            return known
+        earlier = self.earlier_answer(command.operator, command.request)
+        if earlier is not None:
+            return earlier
         document = self._documents.get(command.document)
         version = document.version if document is not None else 0
         if command.base != version:
-            return self._answer(command, EditResult.CONFLICT, version)
+            return self._store_answer(command, EditResult.CONFLICT, version)
         if command.compiled_at != self.revision:
-            # Not an answer to the operator: the leader compiles again.
+            # Not stored as an answer: the leader compiles the edit again.
             return EditAnswer(EditResult.STALE, version)
         self.revision += 1
         self._documents[command.document] = Document(self.revision, command.document, command.text)
         for row in command.rows:
             self._rows.put(self.revision, row.key, row.value)
-        self._remember(command)
-        return self._answer(command, EditResult.ACCEPTED, self.revision)
+        self._add_to_history(command)
+        return self._store_answer(command, EditResult.ACCEPTED, self.revision)
 
-    def _remember(self, command: EditCommand) -> None:
+    def _add_to_history(self, command: EditCommand) -> None:
         self._history.append(
             HistoryEntry(
                 version=self.revision,
@@ -134,28 +134,28 @@
                 text=command.text,
             )
         )
-        del self._history[:-HISTORY_LIMIT]
+        del self._history[:-HISTORY_ENTRIES_KEPT]
 
-    def _answer(self, command: EditCommand, result: EditResult, version: int) -> EditAnswer:
+    def _store_answer(self, command: EditCommand, result: EditResult, version: int) -> EditAnswer:
         self._requests[command.operator, command.request] = RequestAnswer(
             version, result, command.operator, command.request
         )
-        while len(self._requests) > REQUEST_LIMIT:
+        while len(self._requests) > REQUESTS_KEPT:
             self._requests.popitem(last=False)
         return EditAnswer(result, version)
 
     def value(self, key: str) -> bytes:
-        """Return a row's value, empty when there is none."""
+        """Return the value of a row, empty if the row does not exist."""
         return self._rows.value(key)
 
     def delta(self, base: int) -> ConfigDelta:
-        """Return what a subscriber at ``base`` needs to be current."""
+        """Return the update for a subscriber at revision ``base``: changed rows, or all rows."""
         if base == 0 or base < self._whole_below or base > self.revision:
             return ConfigDelta(0, self.revision, True, self._rows.live())
         return ConfigDelta(base, self.revision, False, self._rows.since(base))
 
     def pack(self) -> bytes:
-        """Return the whole state for a snapshot."""
+        """Return the encoded state for a snapshot."""
         return StoreState(
             revision=self.revision,
             whole_below=self._whole_below,
@@ -166,7 +166,7 @@
         ).pack()
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a snapshot's."""
+        """Replace the state with that of a snapshot."""
         state = StoreState.unpack(data) if data else StoreState()
         self.revision = state.revision
         self._whole_below = state.whole_below
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -167,7 +167,7 @@
 def test_a_backup_founds_a_new_group_that_goes_on_from_it():
     def script(control):
         control.operator("a-desk").edit("a", TEXT, 0, "r1")
-        data = backup.take(control.process.replica)
+        data = backup.create(control.process.replica)
         control.operator("a-desk").edit("a", "tenant a {\n}", 1, "r2")
 
         machine = control.world.process("other", "z")
@@ -188,7 +188,7 @@
 
 def test_a_damaged_backup_and_a_folder_in_use_are_refused():
     def script(control):
-        data = bytearray(backup.take(control.process.replica))
+        data = bytearray(backup.create(control.process.replica))
         storage = control.machine.storage("control")
         with pytest.raises(FileExistsError):
             backup.restore(storage, bytes(data))
@@ -206,7 +206,7 @@
     def script(control):
         operator = control.operator("a-desk")
         operator.edit("a", TEXT, 0, "r1")
-        data = backup.take(control.process.replica)
+        data = backup.create(control.process.replica)
         version = 1
         for share in range(20, 30):
             text = f"tenant a {{\n  share {share}\n}}"
