--- a/src/cranklane/controller/route_editor.py
+++ b/src/cranklane/controller/route_editor.py
@@ -16,7 +16,7 @@
 from cranklane.controller.route_store import RouteTableStore, TableResult
 from cranklane.records.messages import RouteTableCommand
 from cranklane.replication.replica import Replica
-from cranklane.routes.document import MAX_NUMBER, pack_document, read_json, read_table
+from cranklane.routes.document import MAX_INTEGER, pack_document, read_json, read_table
 
 
 class RefusalKind(IntEnum):
@@ -77,7 +77,7 @@
         body = document.ok_value
         digest = _digest(body)
         base = body.get("base", 0)
-        if isinstance(base, bool) or not isinstance(base, int) or not 0 <= base <= MAX_NUMBER:
+        if isinstance(base, bool) or not isinstance(base, int) or not 0 <= base <= MAX_INTEGER:
             return Err(
                 TableRefusal(
                     RefusalKind.INVALID, [f"base: found {base!r}; expected a version number or 0"]
--- a/src/cranklane/routes/__init__.py
+++ b/src/cranklane/routes/__init__.py
@@ -1,1 +1,1 @@
-"""Route tables: whole versioned configurations that route by host and path."""
+"""Route tables: versioned documents that map host and path to services."""
--- a/src/cranklane/routes/document.py
+++ b/src/cranklane/routes/document.py
@@ -1,6 +1,6 @@
-"""Reads a route table from its document and states every problem in it.
+"""Parses and validates route table documents.
 
-A document is JSON. Field names are the product's own; times are milliseconds::
+A document is JSON; times are in milliseconds::
 
     {"version": 7, "base": 5,
      "routes": {"pay": {"host": "shop.example", "prefix": "/pay/",
@@ -11,12 +11,12 @@
      "limits": {"max_header_bytes": 16384, "max_body_bytes": 67108864,
                 "header_timeout_ms": 3000, "idle_timeout_ms": 15000}}
 
-A route goes to one ``service`` or is divided by ``split``, a list of
-``{"service": ..., "weight": ...}``. ``repeat`` is ``safe``, ``unsafe`` or
-``download``; requests of ``safe`` and ``download`` routes may run again.
+A route sends its requests to one ``service``, or divides them by ``split``, a list of
+``{"service": ..., "weight": ...}``. ``repeat`` is ``safe``, ``unsafe`` or ``download``; requests
+of ``safe`` and ``download`` routes may be retried.
 
-Where a document has ``tenants``, each request needs an API key of one of them, save on
-routes that are ``public``. A tenant without ``rate_per_s``, or with 0, has no limit.
+If a document has ``tenants``, each request needs the API key of a tenant, except on ``public``
+routes. A tenant has no limit if ``rate_per_s`` is missing or 0.
 """
 
 from __future__ import annotations
@@ -39,70 +39,74 @@
 from cranklane.routes.tenants import Tenant, TenantDirectory
 
 ROUTE_TABLE_ROW = "routes"
-"""Key of the row of configuration in which nodes get the whole document, packed."""
+"""Key of the configuration row that holds the whole compressed document."""
 
 MAX_TIMEOUT_MS = 600_000
-"""Longest time limit of a route."""
+"""Maximum ``timeout_ms`` of a route."""
 
 MAX_OBJECTIVE_OVER_TIMEOUT_MS = 60_000
-"""An objective must be less than this much above its route's time limit."""
+"""Exclusive maximum of ``objective_ms`` minus ``timeout_ms`` of a route."""
 
-PACKING_LEVEL = 1
-"""zlib's fastest level: most of the gain in size, at a third of the default level's time."""
+COMPRESSION_LEVEL = 1
+"""Fastest level of zlib; achieves most of the compression of slower levels."""
 
-MAX_NUMBER = 2**63 - 1
-"""Greatest whole number in a document: a signed integer of 64 bits."""
+MAX_INTEGER = 2**63 - 1
+"""Largest integer in a document: the maximum of a signed 64-bit integer."""
 
 MAX_ATTEMPTS = 1000
-"""Greatest ``max_attempts`` of a route. A choice: far beyond what any route needs, so that a
-mistyped number is found."""
+"""Maximum ``max_attempts`` of a route; refuses mistyped numbers."""
 
 NOT_IDEMPOTENT = "unsafe"
 IDEMPOTENT = ("safe", "download")
-"""Words of ``repeat`` in a document."""
+"""Values of ``repeat`` in a document."""
 
 
 class ProblemError(Exception):
-    """Problems found while reading; carries their texts."""
+    """An invalid value in a document; the message names the field."""
 
 
 class _Fields:
-    """The fields of one object of the document, with checks."""
+    """Validated access to the fields of one object in a document.
 
-    def __init__(self, where: str, value: Any) -> None:
+    :param path: path of the object in the document, for error messages.
+    """
+
+    def __init__(self, path: str, value: Any) -> None:
         if not isinstance(value, dict):
-            raise ProblemError(f"{where}: expected an object")
-        self._where = where
+            raise ProblemError(f"{path}: expected an object")
+        self._path = path
         self._value = value
 
     def number(self, name: str, minimum: int, maximum: int, default: int | None = None) -> int:
         value = self._value.get(name, default)
         if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
             raise ProblemError(
-                f"{self._where}.{name}: found {value!r}; "
-                f"expected a number of {minimum} to {maximum}"
+                f"{self._path}.{name}: found {value!r}; "
+                f"expected an integer from {minimum} to {maximum}"
             )
         return value
 
     def text(self, name: str, default: str | None = None) -> str:
         value = self._value.get(name, default)
         if not isinstance(value, str) or not value:
-            raise ProblemError(f"{self._where}.{name}: found {value!r}; expected a text")
+            raise ProblemError(f"{self._path}.{name}: found {value!r}; expected a non-empty string")
         return value
 
     def amount(self, name: str) -> float:
         value = self._value.get(name)
         if value is None:
             return 0.0
-        number = isinstance(value, int | float) and not isinstance(value, bool)
-        if not number or not 0 <= value <= MAX_NUMBER:
-            raise ProblemError(f"{self._where}.{name}: found {value!r}; expected an amount from 0")
+        is_number = isinstance(value, int | float) and not isinstance(value, bool)
+        if not is_number or not 0 <= value <= MAX_INTEGER:
+            raise ProblemError(
+                f"{self._path}.{name}: found {value!r}; expected a number of at least 0"
+            )
         return float(value)
 
     def flag(self, name: str) -> bool:
         value = self._value.get(name, False)
         if not isinstance(value, bool):
-            raise ProblemError(f"{self._where}.{name}: found {value!r}; expected true or false")
+            raise ProblemError(f"{self._path}.{name}: found {value!r}; expected true or false")
         return value
 
     def value(self, name: str) -> Any:
@@ -110,90 +114,92 @@
 
 
 def pack_document(data: bytes) -> bytes:
-    """Return a document compressed, as it is stored and sent: about a tenth of its size."""
-    return zlib.compress(data, PACKING_LEVEL)
+    """Return a compressed document, for storage and transfer."""
+    return zlib.compress(data, COMPRESSION_LEVEL)
 
 
 def unpack_document(packed: bytes) -> bytes:
-    """Return a document's bytes as the operator sent them."""
+    """Return the decompressed document, byte for byte as the operator sent it."""
     return zlib.decompress(packed)
 
 
 def read_json(data: bytes) -> Result[dict[str, Any], list[str]]:
-    """Return the object that a document's bytes hold, or the problem."""
+    """Return the JSON object in a document's bytes, or the problem."""
     try:
         value = json.loads(data)
     except (ValueError, RecursionError) as error:
-        return Err([f"the document cannot be read: {error}"])
+        return Err([f"the document is not valid JSON: {error}"])
     if not isinstance(value, dict):
-        return Err(["the document is not an object"])
+        return Err(["the document is not a JSON object"])
     return Ok(value)
 
 
 def read_table(document: dict[str, Any]) -> Result[RouteTable, list[str]]:
-    """Return the table of a document, or every problem found in it."""
+    """Return the route table of a document, or all problems in it."""
     problems: list[str] = []
-    services = _read_each(document, "services", service_of, problems)
-    routes = _read_each(document, "routes", route_of, problems)
-    keyed = document.get("tenants") is not None
-    tenants = _read_each(document, "tenants", tenant_of, problems) if keyed else []
+    services = _read_entries(document, "services", service_of, problems)
+    routes = _read_entries(document, "routes", route_of, problems)
+    key_required = document.get("tenants") is not None
+    tenants = _read_entries(document, "tenants", tenant_of, problems) if key_required else []
     limits = Limits()
     version = 0
     try:
-        version = _Fields("document", document).number("version", 1, MAX_NUMBER)
+        version = _Fields("document", document).number("version", 1, MAX_INTEGER)
         limits = limits_of(document.get("limits", {}))
     except ProblemError as problem:
         problems.append(str(problem))
     by_name = {service.name: service for service in services}
     problems += _check_destinations(routes, by_name)
-    problems += _check_places(routes)
+    problems += _check_prefixes(routes)
     problems += _check_keys(tenants)
     if problems:
         return Err(problems)
-    directory = TenantDirectory(tenants) if keyed else None
+    directory = TenantDirectory(tenants) if key_required else None
     return Ok(RouteTable(version, tuple(routes), by_name, limits, directory))
 
 
-def _read_each(document: dict[str, Any], kind: str, read: Any, problems: list[str]) -> list[Any]:
+def _read_entries(document: dict[str, Any], kind: str, read: Any, problems: list[str]) -> list[Any]:
     entries = document.get(kind)
     if not isinstance(entries, dict):
-        problems.append(f"{kind}: expected a table by name")
+        problems.append(f"{kind}: expected an object with entries by name")
         return []
-    found = []
+    values = []
     for name, value in entries.items():
         try:
-            found.append(read(name, value))
+            values.append(read(name, value))
         except ProblemError as problem:
             problems.append(str(problem))
-    return found
+    return values
 
 
 def service_of(name: str, value: Any) -> ServiceEntry:
     """Return one service of a document.
 
-    :raises ProblemError: when something is wrong with it.
+    :raises ProblemError: when a field is invalid.
     """
     fields = _Fields(f"services.{name}", value)
     return ServiceEntry(
         name,
         fields.text("health_path", "/"),
-        fields.number("max_connections", 0, MAX_NUMBER, 0),
+        fields.number("max_connections", 0, MAX_INTEGER, 0),
     )
 
 
 def route_of(name: str, value: Any) -> Route:
     """Return one route of a document.
 
-    :raises ProblemError: when something is wrong with it.
+    :raises ProblemError: when a field is invalid.
     """
-    where = f"routes.{name}"
-    fields = _Fields(where, value)
+    path = f"routes.{name}"
+    fields = _Fields(path, value)
     repeat = fields.text("repeat")
     if repeat != NOT_IDEMPOTENT and repeat not in IDEMPOTENT:
-        raise ProblemError(f"{where}.repeat: found {repeat!r}; expected safe, unsafe or download")
+        raise ProblemError(f"{path}.repeat: found {repeat!r}; expected safe, unsafe or download")
     prefix = fields.text("prefix")
     if not (prefix.startswith("/") and prefix.endswith("/")):
-        raise ProblemError(f"{where}.prefix: found {prefix!r}; must begin and end with a slash")
+        raise ProblemError(
+            f"{path}.prefix: found {prefix!r}; expected a path that begins and ends with a slash"
+        )
     timeout = fields.number("timeout_ms", 1, MAX_TIMEOUT_MS)
     max_objective = timeout + MAX_OBJECTIVE_OVER_TIMEOUT_MS - 1
     return Route(
@@ -205,53 +211,53 @@
         objective_ms=fields.number("objective_ms", 1, max_objective, timeout),
         priority=fields.number("priority", 0, MAX_PRIORITY, 0),
         max_attempts=fields.number("max_attempts", 1, MAX_ATTEMPTS),
-        shares=_shares(where, fields),
+        shares=_shares(path, fields),
         public=fields.flag("public"),
     )
 
 
-def _shares(where: str, fields: _Fields) -> tuple[Share, ...]:
+def _shares(path: str, fields: _Fields) -> tuple[Share, ...]:
     split = fields.value("split")
     if split is None:
         return (Share(fields.text("service"), 1),)
     if not isinstance(split, list) or not split:
-        raise ProblemError(f"{where}.split: expected a list of service and weight")
+        raise ProblemError(f"{path}.split: expected a list of service and weight")
     shares = []
     for entry in split:
-        part = _Fields(f"{where}.split", entry)
-        shares.append(Share(part.text("service"), part.number("weight", 0, MAX_NUMBER)))
+        share_fields = _Fields(f"{path}.split", entry)
+        shares.append(
+            Share(share_fields.text("service"), share_fields.number("weight", 0, MAX_INTEGER))
+        )
     if not any(share.weight for share in shares):
-        raise ProblemError(f"{where}.split: no part has a weight")
+        raise ProblemError(f"{path}.split: expected a weight above 0 for at least one service")
     return tuple(shares)
 
 
 def limits_of(value: Any) -> Limits:
     """Return the limits of a document.
 
-    :raises ProblemError: when something is wrong with them.
+    :raises ProblemError: when a field is invalid.
     """
     fields = _Fields("limits", value)
     default = Limits()
     return Limits(
-        fields.number("max_header_bytes", 1, MAX_NUMBER, default.max_header_bytes),
-        fields.number("max_body_bytes", 0, MAX_NUMBER, default.max_body_bytes),
-        fields.number("header_timeout_ms", 1, MAX_NUMBER, default.header_timeout_ms),
-        fields.number("idle_timeout_ms", 1, MAX_NUMBER, default.idle_timeout_ms),
+        fields.number("max_header_bytes", 1, MAX_INTEGER, default.max_header_bytes),
+        fields.number("max_body_bytes", 0, MAX_INTEGER, default.max_body_bytes),
+        fields.number("header_timeout_ms", 1, MAX_INTEGER, default.header_timeout_ms),
+        fields.number("idle_timeout_ms", 1, MAX_INTEGER, default.idle_timeout_ms),
     )
 
 
 def tenant_of(name: str, value: Any) -> Tenant:
     """Return one tenant of a document.
 
-    Problems never repeat a key: it is a secret.
-
-    :raises ProblemError: when something is wrong with it.
+    :raises ProblemError: when a field is invalid; the message never contains a key.
     """
-    where = f"tenants.{name}"
-    fields = _Fields(where, value)
+    path = f"tenants.{name}"
+    fields = _Fields(path, value)
     keys = fields.value("keys")
     if not isinstance(keys, list) or not all(isinstance(key, str) and key for key in keys):
-        raise ProblemError(f"{where}.keys: expected a list of texts")
+        raise ProblemError(f"{path}.keys: expected a list of non-empty strings")
     return Tenant(
         name=name,
         priority=fields.number("priority", 0, MAX_PRIORITY, 0),
@@ -262,13 +268,13 @@
 
 
 def _check_keys(tenants: list[Tenant]) -> list[str]:
-    holders: dict[str, str] = {}
+    tenant_names: dict[str, str] = {}
     problems = []
     for tenant in tenants:
         for digest in tenant.key_digests:
-            if digest in holders:
-                problems.append(f"tenants.{tenant.name}: shares a key with {holders[digest]}")
-            holders[digest] = tenant.name
+            if digest in tenant_names:
+                problems.append(f"tenants.{tenant.name}: shares a key with {tenant_names[digest]}")
+            tenant_names[digest] = tenant.name
     return problems
 
 
@@ -281,15 +287,15 @@
     ]
 
 
-def _check_places(routes: list[Route]) -> list[str]:
-    taken: dict[tuple[str, str], str] = {}
+def _check_prefixes(routes: list[Route]) -> list[str]:
+    route_names: dict[tuple[str, str], str] = {}
     problems = []
     for route in routes:
-        place = (route.host, route.prefix)
-        if place in taken:
+        host_and_prefix = (route.host, route.prefix)
+        if host_and_prefix in route_names:
             problems.append(
-                f"routes.{route.name}: same host and prefix as {taken[place]}: "
+                f"routes.{route.name}: same host and prefix as {route_names[host_and_prefix]}: "
                 f"{route.host}{route.prefix}"
             )
-        taken[place] = route.name
+        route_names[host_and_prefix] = route.name
     return problems
--- a/src/cranklane/routes/table.py
+++ b/src/cranklane/routes/table.py
@@ -1,4 +1,4 @@
-"""A route table ready for look-ups: routes by host and longest path prefix."""
+"""Route table with lookup by host and longest path prefix."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from cranklane.routes.tenants import Tenant, TenantDirectory
 
 MAX_PRIORITY = 255
-"""Greatest number of a priority: records hold it in a byte."""
+"""Largest priority number: records encode it in one byte."""
 
 
 class Share(NamedTuple):
-    """One destination of a route, and its weight among the route's destinations."""
+    """A destination service of a route and its weight."""
 
     service: str
     weight: int
@@ -24,11 +24,11 @@
 
     :ivar prefix: path prefix; begins and ends with a slash.
     :ivar idempotent: whether a request may run more than once.
-    :ivar timeout_ms: time after which a request gets its final answer.
-    :ivar objective_ms: the latency objective of its requests.
+    :ivar timeout_ms: time limit of a request, until its final response.
+    :ivar objective_ms: latency objective of a request.
     :ivar priority: 0 is the most important.
     :ivar max_attempts: maximum number of workers that one request may reach.
-    :ivar public: whether its requests need no API key where others do.
+    :ivar public: whether its requests are exempt from API keys.
     """
 
     name: str
@@ -44,9 +44,10 @@
 
 
 class ServiceEntry(NamedTuple):
-    """What a table says of a service.
+    """A service in a route table.
 
-    :ivar max_connections: connections one of its workers accepts from all callers.
+    :ivar health_path: path of the health check of its workers.
+    :ivar max_connections: maximum number of connections that one worker accepts from all callers.
     """
 
     name: str
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what a caller may send, and on how long it may take or rest."""
+    """Limits on the size and duration of callers' requests, and on idle connections."""
 
     max_header_bytes: int = 16 * 1024
     max_body_bytes: int = 64 * 1024 * 1024
@@ -66,10 +67,10 @@
 
 @dataclass(frozen=True)
 class RouteTable:
-    """One whole configuration.
+    """One version of all routes, services, limits and tenants.
 
-    :ivar version: the operator's number; 0 for none.
-    :ivar tenants: who may send requests; None where requests need no API key.
+    :ivar version: version number from the operator; 0 for no table.
+    :ivar tenants: tenants that may send requests; None if requests need no API key.
     """
 
     version: int = 0
@@ -89,21 +90,21 @@
         object.__setattr__(self, "_priority_steps", steps)
 
     def priority_of(self, route: Route, tenant: Tenant | None) -> int:
-        """Return the rank of a tenant's requests on a route; 0 is the most important.
+        """Return the priority of a tenant's requests on a route; 0 is the most important.
 
-        The tenant's priority goes first, then the route's. A request of no tenant ranks with
-        those of the least important one.
+        Compares tenants before routes. A request without a tenant has the priority of the least
+        important tenant.
         """
         if self.tenants is None:
             return route.priority
-        first = tenant.priority if tenant is not None else self.tenants.last_priority
-        return min(MAX_PRIORITY, first * self._priority_steps + route.priority)
+        tenant_priority = tenant.priority if tenant is not None else self.tenants.last_priority
+        return min(MAX_PRIORITY, tenant_priority * self._priority_steps + route.priority)
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of a request, or None.
 
         :param host: the Host header; a port is ignored.
-        :param path: as sent, without its query.
+        :param path: path as sent, without the query.
 
         >>> route = Route("r", "a.example", "/x/", True, 1000, 100, 0, 1, (Share("s", 1),))
         >>> table = RouteTable(1, (route,))
@@ -114,7 +115,7 @@
         routes = self._by_host.get(name)
         if routes is None:
             routes = self._by_host.get(name.partition(":")[0], {})
-        # Prefixes end with a slash, so only the path up to each of its slashes fits.
+        # Prefixes end with a slash, so only path prefixes up to a slash can match.
         end = path.rfind("/")
         while end >= 0:
             route = routes.get(path[: end + 1])
--- a/src/cranklane/routes/tenants.py
+++ b/src/cranklane/routes/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants of a route table: whose request it is, by its API key."""
+"""Tenants of a route table and their lookup by API key."""
 
 from __future__ import annotations
 
@@ -13,10 +13,9 @@
     """One tenant.
 
     :ivar priority: 0 is the most important; compared before the priority of a route.
-    :ivar rate_per_second: requests it may have run in a second, over the whole fleet;
-        0 for no limit.
-    :ivar burst: requests that it may have run at once beyond that rate.
-    :ivar key_digests: digests of its API keys; the keys themselves are not kept.
+    :ivar rate_per_second: maximum rate of its requests in the whole fleet; 0 for no limit.
+    :ivar burst: number of requests that may exceed the rate at once.
+    :ivar key_digests: digests of its API keys; the keys themselves are not stored.
     """
 
     name: str
@@ -27,9 +26,10 @@
 
 
 class TenantDirectory:
-    """The tenants of one route table by name and by key.
+    """Tenants of one route table by name and by API key.
 
-    :ivar last_priority: of the least important tenant.
+    :ivar by_name: tenants by name.
+    :ivar last_priority: priority of the least important tenant.
 
     >>> shop = Tenant("shop", key_digests=frozenset({secret_digest(b"k1")}))
     >>> directory = TenantDirectory([shop])
@@ -39,11 +39,11 @@
 
     def __init__(self, tenants: Iterable[Tenant]) -> None:
         self.by_name = {tenant.name: tenant for tenant in tenants}
-        self.last_priority = max((item.priority for item in self.by_name.values()), default=0)
+        self.last_priority = max((tenant.priority for tenant in self.by_name.values()), default=0)
         self._by_key = {
             digest: tenant for tenant in self.by_name.values() for digest in tenant.key_digests
         }
 
     def holder_of(self, key: bytes) -> Tenant | None:
-        """Return the tenant that holds an API key, or None."""
+        """Return the tenant of an API key, or None."""
         return self._by_key.get(secret_digest(key))
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -162,13 +162,13 @@
     ("tenants", "problem"),
     [
         ({"a": {"keys": ["k"]}, "b": {"keys": ["k"]}}, "tenants.b: shares a key with a"),
-        ({"a": {"keys": "k"}}, "tenants.a.keys: expected a list of texts"),
-        ({"a": {"keys": [""]}}, "tenants.a.keys: expected a list of texts"),
+        ({"a": {"keys": "k"}}, "tenants.a.keys: expected a list of non-empty strings"),
+        ({"a": {"keys": [""]}}, "tenants.a.keys: expected a list of non-empty strings"),
         ({"a": {"keys": [], "rate_per_s": -1}}, "tenants.a.rate_per_s"),
         ({"a": {"keys": [], "burst": "many"}}, "tenants.a.burst"),
         ({"a": {"keys": [], "priority": -1}}, "tenants.a.priority"),
         ({"a": 5}, "tenants.a: expected an object"),
-        ([], "tenants: expected a table by name"),
+        ([], "tenants: expected an object with entries by name"),
     ],
 )
 def test_wrong_tenants_are_refused_with_the_reason(tenants, problem):
