--- a/tests/test_compilation.py
+++ b/tests/test_compilation.py
@@ -1,4 +1,4 @@
-"""Documents are compiled together, and only the changed one is read again."""
+"""Documents are compiled together; only the changed document is parsed again."""
 
 from __future__ import annotations
 
@@ -51,16 +51,16 @@
     assert ServiceRow.unpack(rows[0].value).slots == 9
 
 
-def test_a_kept_tree_gives_the_same_rows_as_a_fresh_one(store: ConfigurationStore) -> None:
-    kept = DocumentCompiler(store)
+def test_cached_trees_compile_to_the_same_rows(store: ConfigurationStore) -> None:
+    caching = DocumentCompiler(store)
     for slots in (9, 10, 11):
-        put(store, kept, "t02", tenant_document(2, 3, slots=slots))
-    put(store, kept, ROOT, "deadline 3s")
+        put(store, caching, "t02", tenant_document(2, 3, slots=slots))
+    put(store, caching, ROOT, "deadline 3s")
     text = tenant_document(0, 3, slots=20)
-    assert kept.compile("t00", text) == DocumentCompiler(store).compile("t00", text)
+    assert caching.compile("t00", text) == DocumentCompiler(store).compile("t00", text)
 
 
-def test_a_wrong_text_changes_nothing(store: ConfigurationStore) -> None:
+def test_an_invalid_text_changes_nothing(store: ConfigurationStore) -> None:
     compiler = DocumentCompiler(store)
     revision = store.revision
     assert isinstance(compiler.compile("t00", "tenant t00 { slots }"), Err)
@@ -70,7 +70,7 @@
     assert compiler.compile("t00", tenant_document(0, 3)).unwrap() == []
 
 
-def test_the_policy_of_the_design_size_compiles() -> None:
+def test_a_large_policy_compiles() -> None:
     store = ConfigurationStore()
     compiler = DocumentCompiler(store)
     for tenant in range(TENANTS):
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -1,4 +1,4 @@
-"""A group of controllers that forms and repairs itself, on the virtual clock."""
+"""Formation and repair of a group of controllers, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def put(mesh, version, base):
-    """Send a table until it gets a clear answer; return its status."""
+    """Send a table until the response has a status below 500; return the status."""
     for _ in range(60):
         answer = mesh.operate(table(version, base))
         if answer is not None and answer.status < 500:
@@ -43,7 +43,7 @@
     return 0
 
 
-def version_read(mesh, seconds=20):
+def read_version(mesh, seconds=20):
     def read():
         answer = mesh.describe()
         return answer is not None and answer.status == 200
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
-def test_five_found_one_group_whoever_starts_first(seed):
+def test_five_controllers_form_one_group(seed):
     def script(mesh):
         leaders = [machine.controller.replica.leader for machine in mesh.controllers]
         return len(set(leaders)), put(mesh, 1, 0)
@@ -65,12 +65,12 @@
     def script(mesh):
         statuses = [put(mesh, 3, 0), put(mesh, 3, 0), put(mesh, 9, 3), put(mesh, 3, 0)]
         statuses += [put(mesh, 10, 3), put(mesh, 9, 9), put(mesh, 8, 9)]
-        return statuses, version_read(mesh)
+        return statuses, read_version(mesh)
 
     assert play(script) == ([200, 200, 200, 200, 412, 400, 400], 9)
 
 
-def test_of_two_tables_on_one_version_one_wins():
+def test_one_of_two_concurrent_tables_is_accepted():
     def script(mesh):
         assert put(mesh, 1, 0) == 200
         statuses = []
@@ -105,17 +105,17 @@
     def script(mesh):
         assert put(mesh, 1, 0) == 200
         status = mesh.operate(table(2, 1, change["routes"])).status
-        cut_short = mesh.operate(json.dumps(table(2, 1)).encode()[:-9]).status
-        return status, cut_short, version_read(mesh)
+        truncated = mesh.operate(json.dumps(table(2, 1)).encode()[:-9]).status
+        return status, truncated, read_version(mesh)
 
     assert play(script) == (400, 400, 1)
 
 
-def test_a_process_that_does_not_lead_names_the_leader():
+def test_followers_redirect_to_the_leader():
     def script(mesh):
         leader = mesh.leader().number
-        other = (leader + 1) % 5
-        return mesh.operate(table(1, 0), other).status, mesh.describe(other).status
+        follower = (leader + 1) % 5
+        return mesh.operate(table(1, 0), follower).status, mesh.describe(follower).status
 
     assert play(script) == (200, 200)
 
@@ -131,7 +131,7 @@
             machine.process.kill(power_lost=True)
         for number in range(5):
             mesh.restart_controller(number, empty=number in wiped)
-        return version_read(mesh), put(mesh, 5, 2)
+        return read_version(mesh), put(mesh, 5, 2)
 
     assert play(script, seed=seed) == (2, 200)
 
@@ -178,7 +178,7 @@
         leader = mesh.leader()
         follower = mesh.controllers[(leader.number + 1) % 5]
         replica = follower.controller.replica
-        # Its vote went to another candidate of the term, which the leader then won.
+        # The follower voted for another candidate in the term that the leader won.
         replica.votes.save(replica.term, 77)
         gevent.sleep(1.0)
         follower.process.kill(power_lost=True)
@@ -190,7 +190,7 @@
     assert (term, voted_for) == (former_term, leader)
 
 
-def test_wiped_replicas_one_after_the_other_are_taken_back():
+def test_wiped_replicas_rejoin_one_after_the_other():
     def script(mesh):
         assert put(mesh, 1, 0) == 200
         for number in (0, 1, 2, 3, 4, 0, 1):
@@ -198,7 +198,7 @@
             gevent.sleep(1.0)
             mesh.restart_controller(number, empty=True)
             gevent.sleep(4.0)
-        return version_read(mesh), mesh.voters(), put(mesh, 2, 1)
+        return read_version(mesh), mesh.voters(), put(mesh, 2, 1)
 
     assert play(script) == (1, 5, 200)
 
@@ -214,12 +214,12 @@
             alive = {machine.host for machine in mesh.controllers}
             members = mesh.leader().controller.replica.members.voters()
             assert {member.address.split(":")[0] for member in members} == alive
-        return version_read(mesh), put(mesh, 2, 1)
+        return read_version(mesh), put(mesh, 2, 1)
 
     assert play(script) == (1, 200)
 
 
-def test_nobody_is_removed_only_because_it_is_away():
+def test_an_absent_voter_is_not_removed_without_a_replacement():
     def script(mesh):
         assert put(mesh, 1, 0) == 200
         away = (mesh.leader().number + 1) % 5
@@ -228,26 +228,26 @@
         voters = mesh.voters()
         mesh.restart_controller(away)
         gevent.sleep(5.0)
-        return voters, mesh.voters(), version_read(mesh)
+        return voters, mesh.voters(), read_version(mesh)
 
     assert play(script) == (5, 5, 1)
 
 
-def test_sidecars_get_a_table_soon_though_their_controller_is_cut_off():
+def test_sidecars_of_an_isolated_controller_get_a_new_table():
     def script(mesh):
         machine = mesh.add_machine("s")
         assert put(mesh, 1, 0) == 200
         gevent.sleep(2.0)
-        followed = next(
-            item.number
-            for item in mesh.controllers
-            if machine.name in item.controller.publisher.subscribers
+        subscribed = next(
+            candidate.number
+            for candidate in mesh.controllers
+            if machine.name in candidate.controller.publisher.subscribers
         )
-        cut = mesh.controllers[followed].process.name
+        isolated = mesh.controllers[subscribed].process.name
         for other in mesh.controllers:
-            if other.process.name != cut:
-                mesh.world.network.cut(cut, other.process.name)
-                mesh.world.network.cut(other.process.name, cut)
+            if other.process.name != isolated:
+                mesh.world.network.cut(isolated, other.process.name)
+                mesh.world.network.cut(other.process.name, isolated)
         gevent.sleep(1.0)
         assert put(mesh, 2, 1) == 200
         gevent.sleep(3.0)
@@ -256,7 +256,7 @@
     assert play(script) == 2
 
 
-def cut_apart(mesh, minority):
+def partition(mesh, minority):
     names = [machine.process.name for machine in mesh.controllers]
     for inside in (names[number] for number in minority):
         for outside in (name for i, name in enumerate(names) if i not in minority):
@@ -272,7 +272,7 @@
         machines = [mesh.add_machine("s") for _ in range(6)]
         assert put(mesh, 1, 0) == 200
         gevent.sleep(2.0)
-        cut_apart(mesh, minority)
+        partition(mesh, minority)
         assert mesh.wait_for(lambda: mesh.leader() and mesh.leader().number not in minority, 5)
         assert put(mesh, 2, 1) == 200
         gevent.sleep(2.0)
@@ -287,7 +287,7 @@
     assert play(script, seed=seed) == ({2}, 6)
 
 
-def test_a_restarted_group_that_knows_nobody_yet_takes_no_members_away():
+def test_a_restarted_group_without_members_removes_none_from_sidecars():
     def script(mesh):
         machines = [mesh.add_machine("s") for _ in range(4)]
         assert put(mesh, 1, 0) == 200
@@ -307,10 +307,10 @@
 
 
 @pytest.mark.parametrize("seed", range(1, 4))
-def test_a_sidecar_finds_control_soon_though_most_seeds_say_nothing(seed):
+def test_a_sidecar_connects_with_most_seeds_unreachable(seed):
     def script(mesh):
         assert put(mesh, 1, 0) == 200
-        # The first three are the seeds.
+        # Controllers 0 to 2 are the seeds; only 2 stays reachable.
         for number in (0, 1):
             mesh.world.network.cut("sidecar-0", mesh.controllers[number].process.name)
         machine = mesh.add_machine("s")
@@ -319,7 +319,7 @@
     assert play(script, seed=seed)
 
 
-def test_a_sidecar_restarted_with_a_clock_behind_is_known_again():
+def test_a_sidecar_restarted_with_an_earlier_clock_rejoins():
     def script(mesh):
         machines = [mesh.add_machine("s") for _ in range(2)]
         assert put(mesh, 1, 0) == 200
@@ -337,7 +337,7 @@
     assert play(script) == 2
 
 
-def test_a_full_disk_stops_no_replica_and_spoils_no_log():
+def test_a_full_disk_neither_stops_a_replica_nor_corrupts_its_log():
     def script(mesh):
         assert put(mesh, 1, 0) == 200
         leader = mesh.leader().number
@@ -356,7 +356,7 @@
             machine.process.kill(power_lost=True)
         for number in range(5):
             mesh.restart_controller(number)
-        versions = version_read(mesh)
+        versions = read_version(mesh)
         gevent.sleep(2.0)
         return versions, {machine.controller.store.version for machine in mesh.controllers}
 
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' interface: scopes, conflicts, resends, bad input, back-ups."""
+"""HTTP API for operators: scopes, conflicts, retries, invalid input and back-ups."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Control:
-    """One control process and operators of several scopes."""
+    """One control process and operators with different scopes."""
 
     def __init__(self, world):
         self.world = world
@@ -61,12 +61,12 @@
     return simulate(1, delay, lambda world: script(Control(world)))
 
 
-def test_a_tenants_operator_sees_and_touches_its_own_only():
+def test_an_operator_only_accesses_documents_in_its_scope():
     def script(control):
         assert control.operator("all").edit("a", TEXT, 0, "r1").accepted
         assert control.operator("b-desk").edit("b", "tenant b {\n}", 0, "r1").accepted
         listed = control.ask("a-desk", "GET", "/v1/documents").media["documents"]
-        assert [item["name"] for item in listed] == ["a"]
+        assert [document["name"] for document in listed] == ["a"]
         statuses = [
             control.ask("b-desk", "GET", "/v1/documents/a").status,
             control.ask("b-desk", "GET", "/v1/documents/none").status,
@@ -77,32 +77,32 @@
             control.ask("b-desk", "DELETE", "/v1/replicas/control").status,
             control.ask("nobody", "GET", "/v1/documents").status,
         ]
-        # Another tenant's document looks like one that is not there.
+        # A document outside the scope looks like a missing one.
         assert statuses == [404, 404, 404, 404, 403, 403, 403, 401]
         return control.process.store.document("a").text
 
     assert play(script) == TEXT
 
 
-def test_a_conflict_shows_the_text_that_is_there_and_a_resend_its_first_answer():
+def test_a_conflict_returns_the_current_text_and_a_retry_the_first_answer():
     def script(control):
         operator = control.operator("a-desk")
         first = operator.edit("a", TEXT, 0, "r1")
         conflict = operator.edit("a", "tenant a {\n  share 8\n}", 0, "r2")
         second = operator.edit("a", "tenant a {\n  share 9\n}", 1, "r3")
-        again = operator.edit("a", TEXT, 0, "r1")
+        retry = operator.edit("a", TEXT, 0, "r1")
         return (
             first.media["version"],
             conflict.status,
             conflict.media["text"],
             second.media["version"],
-            (again.status, again.media["version"], again.media["repeated"]),
+            (retry.status, retry.media["version"], retry.media["repeated"]),
         )
 
     assert play(script) == (1, 409, TEXT, 2, (200, 1, True))
 
 
-def test_a_resend_is_answered_after_a_restart_and_a_snapshot():
+def test_a_retry_gets_the_first_answer_after_a_restart_from_a_snapshot():
     def script(control):
         operator = control.operator("a-desk")
         operator.edit("a", TEXT, 0, "r1")
@@ -111,8 +111,8 @@
         control.machine.kill(power_lost=True)
         machine = control.world.process("control", "z", control.machine.host)
         process = control.start(machine, "control")
-        again = operator.edit("a", TEXT, 0, "r1")
-        return again.media["repeated"], process.replica.log.snapshot.index > 0
+        retry = operator.edit("a", TEXT, 0, "r1")
+        return retry.media["repeated"], process.replica.log.snapshot.index > 0
 
     assert play(script) == (True, True)
 
@@ -128,7 +128,7 @@
         ({"text": "x" * 1_100_000, "base": 0, "request": "r"}, "longer than"),
     ],
 )
-def test_bad_input_is_refused_with_what_was_expected(media, expected):
+def test_invalid_input_is_refused_with_the_reason(media, expected):
     def script(control):
         answer = control.ask("a-desk", "PUT", "/v1/documents/a", media or [])
         return answer.status, expected in answer.media["description"]
@@ -136,7 +136,7 @@
     assert play(script) == (400, True)
 
 
-def test_a_wrong_text_names_line_and_column_and_changes_nothing():
+def test_a_syntax_error_names_line_and_column_and_changes_nothing():
     def script(control):
         answer = control.operator("a-desk").edit("a", "tenant a {\n  slots\n}", 0, "r1")
         return answer.status, answer.media["problems"][0], control.process.store.revision
@@ -146,7 +146,7 @@
     assert problem.startswith("line 2, column 3")
 
 
-def test_a_document_longer_than_a_length_of_two_bytes_is_kept_whole():
+def test_a_document_longer_than_64_kib_is_stored_completely():
     text = TEXT + "\n" + "# comment\n" * 10_000
 
     def script(control):
@@ -164,7 +164,7 @@
     assert play(script) == {"version": 9, "in_force": True, "behind": []}
 
 
-def test_a_backup_founds_a_new_group_that_goes_on_from_it():
+def test_a_restored_backup_forms_a_new_group_with_its_state():
     def script(control):
         control.operator("a-desk").edit("a", TEXT, 0, "r1")
         data = backup.create(control.process.replica)
@@ -172,12 +172,12 @@
 
         machine = control.world.process("other", "z")
         restored = backup.restore(machine.storage("restored"), data)
-        found = backup.inspect_folder(machine.storage("restored"))
+        inspection = backup.inspect_folder(machine.storage("restored"))
         process = control.start(machine, "restored")
         answer = control.operator("a-desk", machine).edit("a", "tenant a {\n}", 1, "r3")
         return (
             restored.members,
-            found.documents,
+            inspection.documents,
             process.replica.is_leader,
             answer.accepted,
             process.store.document("a").version,
@@ -186,7 +186,7 @@
     assert play(script) == ([], [("a", 1)], True, True, 1 + backup.REVISIONS_SKIPPED + 1)
 
 
-def test_a_damaged_backup_and_a_folder_in_use_are_refused():
+def test_restoring_refuses_a_corrupted_backup_and_a_folder_in_use():
     def script(control):
         data = bytearray(backup.create(control.process.replica))
         storage = control.machine.storage("control")
@@ -200,8 +200,8 @@
     assert play(script) == []
 
 
-def test_a_restored_group_replaces_what_nodes_have_though_theirs_is_newer():
-    """Found by review: a node ahead of the back-up kept rows of the lost history."""
+def test_a_restored_group_replaces_newer_configuration_of_nodes():
+    """A node with a later revision must not keep rows of edits after the back-up."""
 
     def script(control):
         operator = control.operator("a-desk")
--- a/tests/test_quota_bucket.py
+++ b/tests/test_quota_bucket.py
@@ -1,4 +1,4 @@
-"""The rules of a tenant's bucket and of the fleet's usage, each as a table."""
+"""Rules of a tenant's token bucket and of the fleet's usage totals."""
 
 from __future__ import annotations
 
@@ -32,9 +32,7 @@
         (50.0, 0.0, 0.0, 0.0, 0.0),
     ],
 )
-def test_a_controller_gives_out_the_ratio_of_a_limit_that_it_sees_used(
-    burst, slack, ratio, rate, depth
-):
+def test_a_limit_is_scaled_by_the_reporting_ratio(burst, slack, ratio, rate, depth):
     limit = limit_of(Tenant("a", 0, 100.0, burst), ratio, slack)
     assert limit.rate == pytest.approx(rate)
     assert limit.depth == pytest.approx(depth)
@@ -44,7 +42,7 @@
 
 
 def ratio_after(offered, admitted, returned=0):
-    """Return the ratio of a full bucket after 4 s with the same usage in each 0.1 s."""
+    """Return the ratio of an initially full bucket after 4 s of equal usage every 0.1 s."""
     bucket = QuotaBucket(level=LIMIT.depth)
     permille = FULL_PERMILLE
     for _ in range(40):
@@ -57,23 +55,23 @@
     ("offered", "admitted", "returned", "permille"),
     [
         (5, 5, 0, FULL_PERMILLE),
-        # As much as the rate: the bucket stays full.
+        # Offered at the rate: the bucket stays full.
         (10, 10, 0, FULL_PERMILLE),
-        # Twice the rate is offered, the rate admitted: 100 + (50 - 0.2 * 50) / 0.5 of 200.
+        # Offered at twice the rate, admitted at the rate: 100 + (50 - 0.2 * 50) / 0.5 of 200.
         (20, 10, 0, 900),
-        # The bucket was emptied by 40: 100 + (10 - 10) / 0.5 of 200.
+        # 40 tokens were drained: 100 + (10 - 10) / 0.5 of 200.
         (20, 11, 0, 500),
         (40, 40, 0, MIN_PERMILLE),
-        # Admitted and not run: no demand on the rate.
+        # Admitted but not run: not counted.
         (40, 40, 40, FULL_PERMILLE),
     ],
 )
-def test_the_ratio_follows_from_what_is_offered_and_admitted(offered, admitted, returned, permille):
+def test_the_ratio_follows_from_offered_and_admitted(offered, admitted, returned, permille):
     assert ratio_after(offered, admitted, returned) == pytest.approx(permille, abs=2)
 
 
 @pytest.mark.parametrize(
-    ("known", "new", "sent"),
+    ("published", "new", "sent"),
     [
         (500, 500 + MIN_CHANGE_PERMILLE - 1, False),
         (500, 500 + MIN_CHANGE_PERMILLE, True),
@@ -83,11 +81,11 @@
         (FULL_PERMILLE, FULL_PERMILLE, False),
     ],
 )
-def test_a_small_change_is_not_sent_but_to_or_from_all(known, new, sent):
-    assert QuotaBucket(published_permille=known).is_worth_sending(new) is sent
+def test_small_changes_of_a_ratio_are_not_published(published, new, sent):
+    assert QuotaBucket(published_permille=published).is_worth_sending(new) is sent
 
 
-def test_the_delay_of_totals_is_below_half_of_the_time_of_a_level():
+def test_the_delay_of_totals_is_below_half_of_the_level_correction_time():
     assert 2 * QUOTA_INTERVAL_SECONDS < LEVEL_CORRECTION_SECONDS / 2
 
 
@@ -101,7 +99,7 @@
         (0, 0, 0.0, 1.0),
     ],
 )
-def test_sidecars_of_a_silent_controller_count_as_not_reporting(known, reporting, age, ratio):
+def test_sidecars_of_a_silent_controller_are_not_reporting(known, reporting, age, ratio):
     now = [10.0]
     usage = FleetUsage("own", lambda: now[0], lambda: FleetCount(known, reporting))
     usage.take_totals(UsageTotals(1, 5, "other", []))
@@ -109,15 +107,15 @@
     assert usage.reporting_ratio(now[0]) == pytest.approx(ratio)
 
 
-def test_totals_of_a_restarted_controller_start_anew():
+def test_the_first_totals_of_a_run_set_the_baseline():
     usage = FleetUsage("own", lambda: 0.0, lambda: FleetCount(2, 2))
 
-    def since(began_us, admitted):
+    def increments(began_us, admitted):
         totals = UsageTotals(began_us, 1, "other", [TenantUsage(admitted, admitted, 0, "a")])
-        return [item.admitted for item in usage.take_totals(totals)]
+        return [increment.admitted for increment in usage.take_totals(totals)]
 
-    assert since(1, 100) == [0]
-    assert since(1, 130) == [30]
-    assert since(1, 130) == [0]
-    assert since(2, 7) == [0]
-    assert since(2, 9) == [2]
+    assert increments(1, 100) == [0]
+    assert increments(1, 130) == [30]
+    assert increments(1, 130) == [0]
+    assert increments(2, 7) == [0]
+    assert increments(2, 9) == [2]
--- a/tests/test_route_rows.py
+++ b/tests/test_route_rows.py
@@ -1,4 +1,4 @@
-"""Changes of a route table travel as the rows that changed, and come to the same table."""
+"""Updates of a route table carry only the changed rows and yield the same table."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     store.apply(command.pack())
 
 
-def drawn_table(random, version):
+def random_table(random, version):
     routes = {
         f"r{number}": {
             "prefix": f"/{number}/",
@@ -41,18 +41,18 @@
     return document
 
 
-def as_read(document):
+def parsed(document):
     table = read_json(document).and_then(read_table).unwrap()
     return {route.name: route for route in table.routes}, table.services, table.limits
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_changed_rows_come_to_the_table_that_the_document_states(seed):
+def test_changed_rows_yield_the_table_of_the_document(seed):
     random = Random(seed)
     store = RouteTableStore()
     adopted = AdoptedTable(logger(process="test"), lambda: None)
     for version in range(1, 40):
-        put(store, drawn_table(random, version))
+        put(store, random_table(random, version))
         if random.random() < 0.1:
             restored = RouteTableStore()
             restored.restore(store.pack())
@@ -62,11 +62,11 @@
             assert adopted.adopt(delta)
             table = adopted.table
             routes = {route.name: route for route in table.routes}
-            assert (routes, table.services, table.limits) == as_read(store.document)
+            assert (routes, table.services, table.limits) == parsed(store.document)
             assert table.version == store.version
 
 
-def test_a_node_further_behind_than_the_deletions_kept_gets_everything():
+def test_rows_are_unknown_after_too_many_deletions():
     changes = RowChanges()
     changes.replace(1, {"a": b"1"})
     last = EXTRA_DELETIONS + 10
@@ -77,8 +77,8 @@
     assert {row.key: row.value for row in newest} == {f"b{last - 1}": b"", f"b{last}": b"1"}
 
 
-def bytes_for_one_change():
-    """Return the bytes that a sidecar gets for a change of one of 800 routes."""
+def bytes_sent_for_one_change():
+    """Return the number of bytes sent to a sidecar for a change of one of 800 routes."""
 
     def scenario(world):
         mesh = Mesh(world)
@@ -89,16 +89,16 @@
         first = route_table(1, 0, routes, SERVICES)
         assert mesh.wait_for(lambda: mesh.operate(first).status == 200, 5)
         gevent.sleep(2.0)
-        before = machine.sidecar.control.subscription.bytes_received
+        bytes_before = machine.sidecar.control.subscription.bytes_received
         routes["r7"]["timeout_ms"] = 77
         assert mesh.operate(route_table(2, 1, routes, SERVICES)).status == 200
         gevent.sleep(0.3)
         table = machine.sidecar.adopted.table
         assert (table.version, table.find("shop.example", "/7/x").timeout_ms) == (2, 77)
-        return machine.sidecar.control.subscription.bytes_received - before
+        return machine.sidecar.control.subscription.bytes_received - bytes_before
 
     return simulate(1, lambda _source, _target: 0.0005, scenario)
 
 
 def test_a_change_of_one_route_costs_a_node_a_few_hundred_bytes():
-    assert bytes_for_one_change() < 1000
+    assert bytes_sent_for_one_change() < 1000
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -1,4 +1,4 @@
-"""Whose request it is: keys, revocation that holds out of touch, and limits of the fleet."""
+"""Tenants: API keys, revocation during a loss of contact, and fleet-wide rate limits."""
 
 from __future__ import annotations
 
@@ -77,10 +77,10 @@
     return [run for machine in mesh.machines for run in machine.worker.state.runs]
 
 
-# Keys at the ingress.
+# API keys at the ingress.
 
 
-def test_a_worker_is_told_the_tenant_and_never_the_key():
+def test_a_worker_receives_the_tenant_but_not_the_key():
     def script(mesh):
         answer = ask(mesh, "second-key", **{TENANT: "clinic"})
         run = runs(mesh)[0]
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("key", [None, "", "key-of-nobody", "KEY-OF-SHOP"])
-def test_without_a_good_key_nothing_runs(key):
+def test_a_request_without_a_valid_key_is_refused(key):
     def script(mesh):
         answer = ask(mesh, key)
         return answer.status, len(runs(mesh))
@@ -99,7 +99,7 @@
     assert play(script) == (401, 0)
 
 
-def test_a_public_route_needs_no_key_and_tells_no_tenant():
+def test_a_public_route_requires_no_key_and_sends_no_tenant():
     def script(mesh):
         answer = ask(mesh, None, "/open/x", **{TENANT: "shop"})
         return answer.status, runs(mesh)[0].value(NAMES.tenant)
@@ -107,18 +107,18 @@
     assert play(script) == (200, b"")
 
 
-def test_without_tenants_in_the_table_no_key_is_asked_for():
+def test_a_table_without_tenants_requires_no_key():
     assert play(lambda mesh: ask(mesh).status, tenants=None) == 200
 
 
-def test_a_call_belongs_to_the_tenant_of_its_run():
+def test_a_call_has_the_tenant_of_its_parent_request():
     def script(mesh):
-        top = mesh.machines[0]
+        root_machine = mesh.machines[0]
 
         def work(run):
             answer = exchange(
-                top.worker_process,
-                top.callers,
+                root_machine.worker_process,
+                root_machine.callers,
                 "GET",
                 "/look/x",
                 {"Host": "shop.example", NAMES.request.decode(): run.request + ".1"},
@@ -126,7 +126,7 @@
             return answer.status
 
         for machine in mesh.machines[:2]:
-            machine.worker.state.work = work if machine is top else None
+            machine.worker.state.work = work if machine is root_machine else None
         mesh.machines[1].worker.phase = "draining"
         mesh.machines[1].worker.beat()
         gevent.sleep(0.5)
@@ -136,7 +136,7 @@
     assert play(script) == (200, b"clinic")
 
 
-def test_a_call_of_an_unknown_run_may_come_again_and_does_not_run():
+def test_a_call_of_an_unknown_request_is_refused_as_retryable():
     def script(mesh):
         answer = ask(mesh, None, "/look/x", name="unknown.1")
         return answer.status, "retry-after" in answer.headers, len(runs(mesh))
@@ -144,7 +144,7 @@
     assert play(script) == (503, True, 0)
 
 
-def test_a_tenant_goes_before_another_whatever_their_routes_say():
+def test_tenant_priority_takes_precedence_over_route_priority():
     read = read_table(table()).ok_value
     by_name = read.tenants.by_name
     routes = {route.name: route for route in read.routes}
@@ -155,7 +155,7 @@
     assert order == sorted(set(order))
 
 
-# Documents.
+# Validation of route table documents.
 
 
 @pytest.mark.parametrize(
@@ -171,32 +171,32 @@
         ([], "tenants: expected an object with entries by name"),
     ],
 )
-def test_wrong_tenants_are_refused_with_the_reason(tenants, problem):
+def test_invalid_tenants_are_refused_with_the_reason(tenants, problem):
     problems = read_table(table(tenants=tenants)).err_value
     assert any(problem in text for text in problems), problems
 
 
-def test_problems_never_tell_a_key():
+def test_problems_never_contain_a_key():
     shared = {"a": {"keys": ["hush-hush"]}, "b": {"keys": ["hush-hush", 7]}}
     assert "hush-hush" not in "".join(read_table(table(tenants=shared)).err_value)
 
 
 @given(st.binary(max_size=60))
-def test_no_bytes_in_place_of_a_tenant_break_the_reader(data):
+def test_any_non_empty_string_is_a_valid_key(data):
     document = table(tenants={"a": {"keys": [data.decode("latin-1")]}})
     text = json.dumps(document).encode()
     read = read_json(text).and_then(read_table)
     assert read.is_ok() == bool(data)
 
 
-def test_changes_of_tenants_travel_as_rows():
+def test_changed_tenants_are_sent_as_rows():
     from cranklane.records.messages import ConfigRow
 
     before, after = table(), table(2, 1, {"shop": {"keys": ["new"]}, "more": {"keys": ["m"]}})
     rows_before, rows_after = rows_of(before), rows_of(after)
-    gone = {key: b"" for key in rows_before if key not in rows_after}
+    deleted = {key: b"" for key in rows_before if key not in rows_after}
     whole = [ConfigRow(1, key, value) for key, value in rows_before.items()]
-    changed = [ConfigRow(2, key, value) for key, value in {**rows_after, **gone}.items()]
+    changed = [ConfigRow(2, key, value) for key, value in {**rows_after, **deleted}.items()]
     first = with_rows(RouteTable(), whole).ok_value
     second = with_rows(first, changed).ok_value
     assert first.tenants.holder_of(b"key-of-shop").name == "shop"
@@ -205,20 +205,23 @@
     assert none.tenants is None
 
 
-def test_a_table_is_checked_before_it_is_put(tmp_path):
+def test_the_command_checks_a_route_table_file(tmp_path):
     good, bad = tmp_path / "good.json", tmp_path / "bad.json"
     good.write_text(json.dumps(table()))
     shared = {"a": {"keys": ["hush-hush"]}, "b": {"keys": ["hush-hush"]}}
     bad.write_text(json.dumps(table(tenants=shared)))
-    told = CliRunner().invoke(application, ["route-table", "check", str(good)])
+    checked = CliRunner().invoke(application, ["route-table", "check", str(good)])
     refused = CliRunner().invoke(application, ["route-table", "check", str(bad)])
-    assert (told.exit_code, told.output) == (0, "version 1: 3 routes, 2 services, 2 tenants\n")
+    assert (checked.exit_code, checked.output) == (
+        0,
+        "version 1: 3 routes, 2 services, 2 tenants\n",
+    )
     assert refused.exit_code == 1
     assert "tenants.b: shares a key with a" in refused.output
     assert "hush-hush" not in refused.output
 
 
-# Revocation.
+# Revocation of API keys.
 
 
 def take_shop_away(mesh):
@@ -232,7 +235,7 @@
         mesh.world.network.cut(controller.process.name, machine.process.name)
 
 
-def test_a_key_taken_away_is_refused_in_touch_at_once():
+def test_a_revoked_key_is_refused_by_sidecars_in_touch():
     def script(mesh):
         take_shop_away(mesh)
         gevent.sleep(1.0)
@@ -241,8 +244,8 @@
     assert play(script) == [401, 401, 401]
 
 
-def revoked_out_of_touch(mesh):
-    """Take a key away while a sidecar is cut off; return its answers before and after."""
+def revoke_key_of_isolated_sidecar(mesh):
+    """Revoke a key while a sidecar is isolated; return its responses before and after the limit."""
     machine = mesh.machines[2]
     cut_off(mesh, machine)
     take_shop_away(mesh)
@@ -254,37 +257,41 @@
     return before, after.status, "retry-after" in after.headers, len(runs(mesh)) - ran
 
 
-def test_a_key_taken_away_runs_nowhere_after_its_time_though_a_sidecar_is_cut_off():
-    assert play(revoked_out_of_touch) == (200, 503, True, 0)
+def test_an_isolated_sidecar_refuses_a_revoked_key_after_the_revocation_time():
+    assert play(revoke_key_of_isolated_sidecar) == (200, 503, True, 0)
 
 
 def test_without_the_lease_a_revoked_key_would_run(monkeypatch):
     monkeypatch.setattr(table_lease.TableLease, "holds", True)
-    assert play(revoked_out_of_touch)[1] == 200
+    assert play(revoke_key_of_isolated_sidecar)[1] == 200
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_a_key_taken_away_runs_nowhere_with_a_leader_cut_off_among_its_sidecars(seed):
+def test_a_revoked_key_is_refused_with_the_leader_isolated(seed):
     def script(mesh):
         random = Random(seed)
         leader = mesh.leader().process.name
-        others = [item.process.name for item in mesh.controllers if item.process.name != leader]
-        near = [item for item in mesh.machines if random.random() < 0.6]
+        followers = [
+            controller.process.name
+            for controller in mesh.controllers
+            if controller.process.name != leader
+        ]
+        isolated = [machine for machine in mesh.machines if random.random() < 0.6]
         network = mesh.world.network
-        for far in others:
-            network.cut(leader, far)
-            network.cut(far, leader)
-            for machine in near:
-                network.cut(machine.process.name, far)
-                network.cut(far, machine.process.name)
+        for follower in followers:
+            network.cut(leader, follower)
+            network.cut(follower, leader)
+            for machine in isolated:
+                network.cut(machine.process.name, follower)
+                network.cut(follower, machine.process.name)
         gevent.sleep(random.uniform(0.0, 4.0))
         without = {name: value for name, value in TENANTS.items() if name != "shop"}
 
         def acknowledged():
             answers = [
                 mesh.operate(table(2, 1, without), number)
-                for number, item in enumerate(mesh.controllers)
-                if item.process.name != leader
+                for number, controller in enumerate(mesh.controllers)
+                if controller.process.name != leader
             ]
             return any(answer is not None and answer.status == 200 for answer in answers)
 
@@ -299,7 +306,7 @@
     assert play(script, seed) == (True, 0)
 
 
-def test_a_lease_counts_from_when_its_word_was_asked_for():
+def test_a_lease_counts_from_the_time_of_the_request():
     now = [100.0]
     lease = TableLease(lambda: now[0], 5.0)
     assert not lease.holds
@@ -309,7 +316,7 @@
     assert not lease.holds
 
 
-def test_a_confirmed_table_counts_once_it_is_in_force():
+def test_a_lease_requires_the_confirmed_table_in_force():
     now = [100.0]
     lease = TableLease(lambda: now[0], 5.0)
     lease.confirmed(newest_at=100.0, revision=4, in_force=3)
@@ -320,31 +327,34 @@
     assert lease.holds
 
 
-# Limits.
+# Rate limits.
 
 WINDOW_SECONDS = 5.0
 
 
-def most_in_a_window(moments):
-    first = worst = 0
+def max_in_a_window(moments):
+    first = maximum = 0
     for last, moment in enumerate(moments):
         while moments[first] < moment - WINDOW_SECONDS:
             first += 1
-        worst = max(worst, last - first + 1)
-    return worst
+        maximum = max(maximum, last - first + 1)
+    return maximum
 
 
 class QuotaFleet:
-    """Sidecars and one controller's sums, without a network: news take ``delay`` seconds."""
+    """Sidecars and the quotas of one controller, without a network.
+
+    :param delay: delay of usage reports and ratios together, in seconds.
+    """
 
     def __init__(self, rate, sidecars=71, delay=0.2, seed=1):
         self.now = 0.0
         self.random = Random(seed)
         self.tenant = Tenant("a", 0, rate, rate)
         self.delay = delay
-        self.heard = sidecars
+        self.reporting = sidecars
         self.quotas = FleetQuotas(
-            "c", self.clock, lambda: [self.tenant], lambda: FleetCount(sidecars, self.heard)
+            "c", self.clock, lambda: [self.tenant], lambda: FleetCount(sidecars, self.reporting)
         )
         self.sidecars = [
             TenantQuota(self.clock, self.random, lambda: sidecars) for _ in range(sidecars)
@@ -359,7 +369,7 @@
         return self.now
 
     def run(self, seconds, demand):
-        """Let requests come in at a rate for some seconds."""
+        """Send requests at a rate for some seconds."""
         step = 0.01
         for _ in range(round(seconds / step)):
             self.now += step
@@ -398,9 +408,9 @@
 
     @property
     def overrun(self):
-        """The fullest window against what may run in one, with a tenth and 20 beyond."""
+        """Requests in the fullest window, relative to the limit plus a tenth and 20."""
         rate = self.tenant.rate_per_second
-        return most_in_a_window(self.ran) / ((rate * WINDOW_SECONDS + rate) * 1.1 + 20)
+        return max_in_a_window(self.ran) / ((rate * WINDOW_SECONDS + rate) * 1.1 + 20)
 
 
 @pytest.mark.parametrize("rate", [5, 26, 187])
@@ -415,7 +425,7 @@
     assert served >= 0.75 * 7 * rate
 
 
-def test_without_the_part_of_control_a_surge_goes_over(monkeypatch):
+def test_a_surge_exceeds_the_limit_without_admission_ratios(monkeypatch):
     monkeypatch.setattr(tenant_quota.TenantQuota, "take_shares", lambda *_: None)
     fleet = QuotaFleet(26)
     fleet.run(10, 26 / 1.6)
@@ -424,7 +434,7 @@
 
 
 @pytest.mark.parametrize("rate", [5, 26, 187])
-def test_a_tenant_below_its_limit_loses_next_to_nothing(rate):
+def test_a_tenant_below_its_limit_is_rarely_refused(rate):
     fleet = QuotaFleet(rate)
     fleet.run(60, rate / 1.6)
     early = [moment for moment in fleet.refused if moment < 2]
@@ -432,16 +442,16 @@
 
 
 @pytest.mark.parametrize("rate", [26, 90])
-def test_sidecars_without_news_keep_to_their_own_share(rate):
+def test_sidecars_without_updates_admit_their_local_share(rate):
     fleet = QuotaFleet(rate)
     fleet.run(10, rate / 1.6)
     fleet.cut = set(range(12))
-    fleet.heard = 59
+    fleet.reporting = 59
     fleet.run(7, rate / 1.6 * 7.5)
     assert fleet.overrun <= 1.0
 
 
-def test_what_did_not_run_counts_for_nothing():
+def test_requests_that_did_not_run_are_not_counted():
     now = [0.0]
     quotas = FleetQuotas("c", lambda: now[0], lambda: [Tenant("a", 0, 10, 10)], _whole_fleet)
     for _ in range(30):
@@ -451,7 +461,7 @@
     assert quotas.shares_since(0) == []
 
 
-def test_sums_of_another_process_count_once_and_from_when_it_was_first_heard():
+def test_totals_of_another_controller_count_once_and_after_the_first_report():
     now = [0.0]
     tenants = [Tenant("a", 0, 10, 10)]
     one = FleetQuotas("one", lambda: now[0], lambda: tenants, _whole_fleet)
@@ -473,18 +483,18 @@
     return FleetCount(2, 2)
 
 
-def test_a_tenant_over_its_limit_is_told_when_to_come_back():
+def test_a_refusal_over_the_limit_carries_retry_after():
     def script(mesh):
         gevent.sleep(2.0)
         answers = [ask(mesh, "key-of-clinic", machine=number % 3) for number in range(270)]
         refused = [answer for answer in answers if answer.status == 429]
         others = [ask(mesh, "key-of-shop", machine=number).status for number in range(3)]
-        return len(refused) > 0, all("retry-after" in item.headers for item in refused), others
+        return len(refused) > 0, all("retry-after" in answer.headers for answer in refused), others
 
     assert play(script) == (True, True, [200, 200, 200])
 
 
-def test_a_sidecar_that_was_just_started_lets_in_its_own_share():
+def test_a_just_started_sidecar_admits_its_local_share():
     quota = TenantQuota(lambda: 5.0, Random(1), lambda: 71)
     tenant = Tenant("a", 0, 10, 10)
     assert sum(quota.admits(tenant) for _ in range(10)) == OWN_SHARE_BURST
