--- a/src/cranklane/controller/confirmation.py
+++ b/src/cranklane/controller/confirmation.py
@@ -16,7 +16,7 @@
 from cranklane.records.messages import ConfirmReply, ConfirmRequest
 from cranklane.replication.replica import Replica
 
-ASK_SECONDS = 0.25
+CONFIRM_INTERVAL_SECONDS = 0.25
 """Interval of a follower's requests to the leader. Adds to the age of a follower's state; below
 the heartbeat interval of sidecars (0.5 s)."""
 
@@ -49,7 +49,7 @@
         while True:
             if not self._replica.is_leader:
                 self._request_commit_index()
-            gevent.sleep(ASK_SECONDS)
+            gevent.sleep(CONFIRM_INTERVAL_SECONDS)
 
     def _request_commit_index(self) -> None:
         leader = self._replica.leader_member()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -113,7 +113,7 @@
     follower.process.suspend(AWAY_SECONDS)
     gevent.sleep(AWAY_SECONDS)
     age = follower.controller._confirmation.age()
-    return age is None or age >= AWAY_SECONDS - confirmation.ASK_SECONDS
+    return age is None or age >= AWAY_SECONDS - confirmation.CONFIRM_INTERVAL_SECONDS
 
 
 def test_a_controller_that_was_suspended_confirms_nothing_as_new():
