--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -108,7 +108,7 @@
         self.membership = self._nodes.membership
         self.publisher = self._nodes.publisher
         self.replica = self._make_replica()
-        self._confirmation = StateFreshness(self.replica, runtime.monotonic)
+        self._freshness = StateFreshness(self.replica, runtime.monotonic)
         self._sidecars = self._make_sidecar_service()
         voters = 2 * settings.tolerated_losses + 1
         self.changes = MembershipChange(self.replica, voters)
@@ -133,7 +133,7 @@
             self.settings.quota_slack,
         )
         return SidecarService(
-            self._confirmation,
+            self._freshness,
             quotas,
             lambda: self.store.revision,
             self.publisher.wake,
@@ -154,7 +154,7 @@
         bootstrap = GroupBootstrap(self.replica, self._seed_addresses, settings.first_start)
         self.runtime.spawn(bootstrap.run)
         self._nodes.serve_sidecars(self._sidecars)
-        self.runtime.spawn(self._confirmation.run)
+        self.runtime.spawn(self._freshness.run)
         self._nodes.start(self.replica)
         self._log.info(
             "started", version=self.store.version, term=self.replica.term, seeds=settings.seeds
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -112,7 +112,7 @@
     follower = next(item for item in mesh.controllers if item is not mesh.leader())
     follower.process.suspend(AWAY_SECONDS)
     gevent.sleep(AWAY_SECONDS)
-    age = follower.controller._confirmation.age()
+    age = follower.controller._freshness.age()
     return age is None or age >= AWAY_SECONDS - confirmation.CONFIRM_INTERVAL_SECONDS
 
 
