--- a/src/cranklane/control/editor.py
+++ b/src/cranklane/control/editor.py
@@ -68,7 +68,7 @@
             for _ in range(MAX_COMPILE_ATTEMPTS):
                 if not self._replica.may_read:
                     return Err(self.not_leader_problem())
-                earlier = self._store.answered(edit.operator, edit.request)
+                earlier = self._store.earlier_answer(edit.operator, edit.request)
                 if earlier is not None:
                     return Ok(earlier)
                 compiled = self._compiler.compile(edit.document, edit.text)
--- a/src/cranklane/control/store.py
+++ b/src/cranklane/control/store.py
@@ -79,7 +79,7 @@
         """Return a document's accepted edits, newest first."""
         return [entry for entry in reversed(self._history) if entry.document == name]
 
-    def answered(self, operator: str, request: str) -> EditAnswer | None:
+    def earlier_answer(self, operator: str, request: str) -> EditAnswer | None:
         """Return the stored answer to a request, or None."""
         stored = self._requests.get((operator, request))
         if stored is None:
@@ -105,7 +105,7 @@
 
     def edit(self, command: EditCommand) -> EditAnswer:
         """Apply an edit and return its answer."""
-        earlier = self.answered(command.operator, command.request)
+        earlier = self.earlier_answer(command.operator, command.request)
         if earlier is not None:
             return earlier
         document = self._documents.get(command.document)
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -200,7 +200,7 @@
 
 
 def _requests_forgotten() -> list[Replacement]:
-    return [Replacement(ConfigurationStore, "answered", lambda _self, *_request: None)]
+    return [Replacement(ConfigurationStore, "earlier_answer", lambda _self, *_request: None)]
 
 
 def _identity_by_name() -> list[Replacement]:
