--- a/src/cranklane/controller/route_editor.py
+++ b/src/cranklane/controller/route_editor.py
@@ -66,7 +66,7 @@
                 # The lease has expired, so another leader may have a newer table.
                 return Err(TableRefusal(RefusalKind.NOT_LEADING))
             return Err(self._refusal(expected_result, command))
-        if self._store.was_taken(command.digest):
+        if self._store.was_accepted(command.digest):
             return Ok(command.version)
         return self._commit(command)
 
--- a/src/cranklane/controller/route_store.py
+++ b/src/cranklane/controller/route_store.py
@@ -60,13 +60,13 @@
         """Document in force, byte for byte as the operator sent it; empty for none."""
         return unpack_document(self._packed_document)
 
-    def was_taken(self, digest: bytes) -> bool:
+    def was_accepted(self, digest: bytes) -> bool:
         """Return whether a table with this digest was ever accepted."""
         return digest in self._accepted_versions
 
     def judge(self, command: RouteTableCommand) -> TableResult:
         """Return the result that a command would have now."""
-        if self.was_taken(command.digest):
+        if self.was_accepted(command.digest):
             return TableResult.ACCEPTED
         if command.base != self.version:
             return TableResult.CONFLICT
@@ -78,7 +78,7 @@
         """Apply a committed RouteTableCommand and return its result."""
         command = RouteTableCommand.unpack(data)
         result = self.judge(command)
-        if result is TableResult.ACCEPTED and not self.was_taken(command.digest):
+        if result is TableResult.ACCEPTED and not self.was_accepted(command.digest):
             self.revision += 1
             self.version = command.version
             self._packed_document = command.document
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -127,7 +127,7 @@
     "splitter": (Splitter, "choose", first_share, test_mesh.test_a_split_keeps_its_shares),
     "digests of taken tables": (
         RouteTableStore,
-        "was_taken",
+        "was_accepted",
         lambda self, digest: False,
         test_controllers.test_an_equal_request_is_answered_alike_for_good_and_another_is_a_conflict,
     ),
