--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -39,15 +39,18 @@
 GROUP = "control"
 """Name of the replication group of the configuration."""
 
-STALE_SECONDS = 3.0
+OUT_OF_TOUCH_SECONDS = 3.0
 """Time without contact to the group after which subscriptions are ended. Above the longest
 election timeout (2 s), so that an ordinary election ends none."""
 
 TIMING = NodeServiceTiming(
-    out_of_touch_after=STALE_SECONDS, last_resort_stay=10.0, contact_check=0.5, expiry_check=1.0
+    out_of_touch_after=OUT_OF_TOUCH_SECONDS,
+    last_resort_stay=10.0,
+    contact_check=0.5,
+    expiry_check=1.0,
 )
 """A node in a last-resort subscription looks for a process in touch every 10 s. The checks run
-several times within a member lease (6 s) and ``STALE_SECONDS``."""
+several times within a member lease (6 s) and ``OUT_OF_TOUCH_SECONDS``."""
 
 
 def _are_operator_entries(value: Any) -> bool:
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -34,7 +34,7 @@
 
 NEWER_VERSION_GRACE_SECONDS = 4.0
 """Time after another node shows a newer version until this node leaves its control process, which
-may be out of touch without having detected it. Above ``control.process.STALE_SECONDS``."""
+may be out of touch without having detected it. Above ``control.process.OUT_OF_TOUCH_SECONDS``."""
 
 
 class Subscription:
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -8,7 +8,7 @@
 import pytest
 from result import Ok
 
-from cranklane.control.process import STALE_SECONDS
+from cranklane.control.process import OUT_OF_TOUCH_SECONDS
 from cranklane.distribution.publisher import Publisher
 from cranklane.replication import applier
 from cranklane.replication.membership_change import ChangeFailure
@@ -188,7 +188,7 @@
         gevent.sleep(2.0)
         old = leader_number(run)
         cut_from_others(run, old)
-        gevent.sleep(STALE_SECONDS + 4.0)
+        gevent.sleep(OUT_OF_TOUCH_SECONDS + 4.0)
         return len(run.fleet.controls[old].publisher.subscribers)
 
     assert play(script) == 0
@@ -235,7 +235,7 @@
         learner = fleet.controls[3]
         before = learner.in_touch, learner.replica.is_member
         cut_from_others(run, 3)
-        gevent.sleep(STALE_SECONDS + 2.0)
+        gevent.sleep(OUT_OF_TOUCH_SECONDS + 2.0)
         return before, learner.in_touch
 
     assert play(script) == ((True, True), False)
