--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -89,7 +89,7 @@
     machine = mesh.machines[2]
     test_tenants.cut_off(mesh, machine)
     suspend(machine)
-    test_tenants.take_shop_away(mesh)
+    test_tenants.remove_tenant_shop(mesh)
     gevent.sleep(AWAY_SECONDS)
     ran = len(runs(mesh))
     status = test_tenants.ask(mesh, "key-of-shop", path="/look/x").status
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -224,7 +224,7 @@
 # Revocation of API keys.
 
 
-def take_shop_away(mesh):
+def remove_tenant_shop(mesh):
     without = {name: value for name, value in TENANTS.items() if name != "shop"}
     assert mesh.wait_for(lambda: mesh.operate(table(2, 1, without)).status == 200, 5)
 
@@ -237,7 +237,7 @@
 
 def test_a_revoked_key_is_refused_by_sidecars_in_touch():
     def script(mesh):
-        take_shop_away(mesh)
+        remove_tenant_shop(mesh)
         gevent.sleep(1.0)
         return [ask(mesh, "key-of-shop", machine=number).status for number in range(3)]
 
@@ -248,7 +248,7 @@
     """Revoke a key while a sidecar is isolated; return its responses before and after the limit."""
     machine = mesh.machines[2]
     cut_off(mesh, machine)
-    take_shop_away(mesh)
+    remove_tenant_shop(mesh)
     gevent.sleep(2.0)
     before = ask(mesh, "key-of-shop").status
     gevent.sleep(REVOCATION_SECONDS - 2.0)
