--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -61,7 +61,7 @@
     assert play(script, seed=seed) == (1, 200)
 
 
-def test_an_equal_request_is_answered_alike_for_good_and_another_is_a_conflict():
+def test_a_repeated_table_is_accepted_again_and_a_stale_base_is_refused():
     def script(mesh):
         statuses = [put(mesh, 3, 0), put(mesh, 3, 0), put(mesh, 9, 3), put(mesh, 3, 0)]
         statuses += [put(mesh, 10, 3), put(mesh, 9, 9), put(mesh, 8, 9)]
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -129,7 +129,7 @@
         RouteTableStore,
         "was_accepted",
         lambda self, digest: False,
-        test_controllers.test_an_equal_request_is_answered_alike_for_good_and_another_is_a_conflict,
+        test_controllers.test_a_repeated_table_is_accepted_again_and_a_stale_base_is_refused,
     ),
     "word of a certain leader": (
         Election,
