--- a/src/cranklane/control/editor.py
+++ b/src/cranklane/control/editor.py
@@ -19,7 +19,7 @@
 from cranklane.runtime.interface import Runtime
 
 MAX_COMPILE_ATTEMPTS = 5
-"""Compilations of one edit before it is refused, if other edits are committed in between."""
+"""Maximum number of compilations of one edit; each edit committed in between requires another."""
 
 
 @dataclass(frozen=True)
--- a/src/cranklane/control/operator_api.py
+++ b/src/cranklane/control/operator_api.py
@@ -31,7 +31,7 @@
 """Interval at which a wait checks the versions of nodes."""
 
 MAX_DOCUMENT_CHARACTERS = 1024 * 1024
-"""Maximum length of a document's text."""
+"""Maximum length of a document's text; far above the policy of one tenant."""
 
 
 class OperatorApi:
--- a/src/cranklane/controller/fleet_quotas.py
+++ b/src/cranklane/controller/fleet_quotas.py
@@ -105,9 +105,9 @@
         self._shares[tenant] = (permille, self.shares_position)
         self._shares.move_to_end(tenant)
 
-    def _drop_unlimited(self, limited: set[str]) -> None:
+    def _drop_unlimited(self, limited_names: set[str]) -> None:
         """Drop the buckets of tenants without a limit, and reset their published ratios."""
-        for name in [name for name in self._buckets if name not in limited]:
+        for name in [name for name in self._buckets if name not in limited_names]:
             bucket = self._buckets.pop(name)
             if bucket.published_permille != FULL_PERMILLE:
                 self._set_ratio(name, bucket, FULL_PERMILLE)
--- a/src/cranklane/controller/route_api.py
+++ b/src/cranklane/controller/route_api.py
@@ -19,7 +19,7 @@
 ROUTE_TABLE_PATH = "/v1/route-table"
 
 MAX_DOCUMENT_BYTES = 12 * 1024 * 1024
-"""Maximum size of a document, in bytes."""
+"""Maximum size of a document; five times the size of a table with 12,000 routes."""
 
 _REFUSAL_STATUS = {
     RefusalKind.INVALID: HTTPStatus.BAD_REQUEST,
--- a/src/cranklane/controller/route_editor.py
+++ b/src/cranklane/controller/route_editor.py
@@ -39,7 +39,7 @@
 
 
 class RouteEditor:
-    """Checks route tables and commits them.
+    """Validates and commits route tables.
 
     :param voters_needed: number of voters before the first table is accepted, so that an
         accepted table survives the tolerated loss of disks.
--- a/src/cranklane/controller/row_changes.py
+++ b/src/cranklane/controller/row_changes.py
@@ -1,6 +1,6 @@
-"""History of a route table's rows, for updates to subscribers.
+"""History of a route table's rows, bounded by the number of deleted rows.
 
-Discarded when too many deleted rows have accumulated. Owned by :class:`RouteTableStore`.
+Owned by :class:`RouteTableStore`.
 """
 
 from __future__ import annotations
--- a/src/cranklane/controller/tenant_usage.py
+++ b/src/cranklane/controller/tenant_usage.py
@@ -62,7 +62,7 @@
 class _RemoteController:
     """Last totals of another controller.
 
-    :ivar began_us: start time of its process in microseconds; identifies the run.
+    :ivar began_us: start time of its process by its own clock; identifies the run.
     :ivar reported_at: arrival of its last totals, in monotonic seconds.
     :ivar nodes: number of sidecars that report to it.
     :ivar counts: last totals by tenant.
