--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -176,32 +176,30 @@
     def _gauge_registry(self) -> GaugeRegistry:
         gauges = GaugeRegistry()
         replica = self.replica
-        gauges.add(
-            "cranklane_table_version", "Route table version in force.", lambda: self.store.version
-        )
-        gauges.add("cranklane_term", "Latest known term.", lambda: replica.term)
+        gauges.add("cranklane_table_version", "Version in force.", lambda: self.store.version)
+        gauges.add("cranklane_term", "Newest term known.", lambda: replica.term)
         gauges.add(
             "cranklane_leads",
-            "Whether the replica leads and holds its lease.",
+            "Whether it leads for certain.",
             lambda: replica.may_read,
         )
         gauges.add(
             "cranklane_in_touch",
-            "Whether the process was recently in touch with the leader.",
+            "Whether it heard of a leader.",
             lambda: self.in_touch,
         )
         gauges.add(
             "cranklane_applied_index",
-            "Index of the last applied entry.",
+            "Entry applied.",
             lambda: replica.applied_index,
         )
-        gauges.add("cranklane_voters", "Number of voters.", lambda: len(replica.members.voters()))
+        gauges.add("cranklane_voters", "Voters.", lambda: len(replica.members.voters()))
         gauges.add(
             "cranklane_subscribers",
-            "Subscribed nodes.",
+            "Nodes that follow it.",
             lambda: len(self.publisher.subscribers),
         )
-        gauges.add("cranklane_members", "Known nodes.", lambda: len(self.membership))
+        gauges.add("cranklane_members", "Nodes known.", lambda: len(self.membership))
         return gauges
 
     def _fleet_count(self) -> FleetCount:
