--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -240,7 +240,7 @@
         self.lease.adopted(self.adopted.version)
         entry = self.adopted.table.services.get(self.settings.service)
         if entry is not None:
-            self._discovery.health_path_known(entry.health_path)
+            self._discovery.probe_once(entry.health_path)
 
     def _condition_changed(self, condition: Condition) -> None:
         self._log.info(
--- a/src/cranklane/sidecar/worker/__init__.py
+++ b/src/cranklane/sidecar/worker/__init__.py
@@ -1,1 +1,1 @@
-"""The worker beside a sidecar: its state, its connections, its health."""
+"""The worker beside a sidecar: state, connections and health."""
--- a/src/cranklane/sidecar/worker/body_sender.py
+++ b/src/cranklane/sidecar/worker/body_sender.py
@@ -1,4 +1,4 @@
-"""Writes the body of a request to the worker while its answer is read."""
+"""Sends a request's body to the worker while the answer is read."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
     ConnectionLostError,
     MalformedRecordError,
 )
-"""How reading the rest of a body, or writing it, can fail."""
+"""Errors from reading the rest of a body or from writing it to the worker."""
 
 
 class BodySender:
-    """Writes one body, in a task of its own.
+    """Sends one body in a separate task.
 
-    :ivar done: whether all of it was written.
+    :ivar done: whether the complete body was sent.
     """
 
     def __init__(self, connection: WorkerConnection, attempt: Attempt) -> None:
@@ -30,21 +30,21 @@
         self.done = False
 
     def run(self) -> None:
-        """Write the body to its end, or close the connection."""
+        """Send the complete body; close the connection on an error."""
         attempt = self._attempt
         framing = Framing(attempt.request.framing)
         try:
             self._write(framing, attempt.request.body)
             while attempt.rest is not None:
-                piece = attempt.rest()
-                if not piece:
+                data = attempt.rest()
+                if not data:
                     break
-                self._write(framing, piece)
+                self._write(framing, data)
             if framing is Framing.CHUNKED:
                 self._connection.stream.sendall(LAST_CHUNK)
             self.done = True
         except _BODY_ERRORS:
-            # A body that ends too early must not look whole to the worker.
+            # Closing prevents the worker from accepting a truncated body as complete.
             self._connection.close()
 
     def _write(self, framing: Framing, data: bytes) -> None:
--- a/src/cranklane/sidecar/worker/condition.py
+++ b/src/cranklane/sidecar/worker/condition.py
@@ -1,14 +1,12 @@
-"""The condition of a worker as its own sidecar sees it, reported to every caller.
+"""Tracks the fault ratio and slowness of a worker, and decides when to report them to callers.
 
-In a large fleet a caller meets a given worker too seldom to learn of its troubles; the worker's
-own sidecar sees every run. What it sees travels with each answer, and by way of control with
-the member list, to callers that have not met the worker. With a model of 195 callers of 93
-workers, 15% of them five times slower, 1.84% of the requests went to slow workers instead of
-11.9% without reports.
+In a large fleet a caller sends too few requests to each worker to detect a bad one, but the
+worker's sidecar sees every run. It attaches the condition to each answer, and reports it to
+control, which distributes it with the member list.
 
-Receivers let a reported condition decay. The sidecar knows how, and reports a new one only when
-what they believe by then is far from what it sees: a healthy worker costs no messages, a sick
-one a few (42 in 12 s in that model).
+Receivers let a reported condition decay. The sidecar applies the same decay and sends a report
+only when the decayed one differs too much from the current condition, so that a healthy worker
+causes no messages.
 """
 
 from __future__ import annotations
@@ -19,19 +17,17 @@
 from cranklane.sidecar.worker.fault_ratio import FaultRatio, decayed
 from cranklane.sidecar.worker.slowness import TOLERATED, Slowness, decayed_slowness
 
-FAR_FAULTS = 0.15
-"""Difference of two fault ratios from which a new one is reported. A choice: smaller ones hardly
-change which worker is chosen."""
+REPORTED_FAULT_DIFFERENCE = 0.15
+"""Difference of fault ratios above which a report is due; smaller ones hardly affect routing."""
 
-FAR_SLOWNESS = 1.5
-"""Quotient of two slownesses from which a new one is reported. A choice, as above."""
+REPORTED_SLOWNESS_QUOTIENT = 1.5
+"""Quotient of two values of slowness above which a report is due."""
 
 MIN_FAULT_RATIO = 0.05
-"""Fault ratio below which a worker counts as healthy. A choice: single failed runs happen."""
+"""Fault ratio below which a worker counts as healthy."""
 
-MIN_REPORT_SECONDS = 0.4
-"""Shortest time between two reports to control, in seconds. A choice: it bounds the messages of
-a sick worker, and is below the time between heartbeats (0.5 s)."""
+MIN_REPORT_INTERVAL_SECONDS = 0.4
+"""Minimum interval between two reports, in seconds; shorter than the heartbeat interval."""
 
 _PERCENT = 100
 """Percent in the ratio 1."""
@@ -40,15 +36,15 @@
 """Tenths in the slowness 1."""
 
 _MAX_TENTHS = 255
-"""Largest slowness in the one byte that a record has for it."""
+"""Largest slowness, in tenths, that fits its field of one byte in records."""
 
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """The condition of a worker.
+    """Health of a worker.
 
-    :ivar faults: ratio of its runs that failed by its own fault, 0 to 1.
-    :ivar slowness: how many times the expected latency its runs take.
+    :ivar faults: ratio of runs that failed by the worker's own fault, 0 to 1.
+    :ivar slowness: run time as a multiple of the expected latency.
     """
 
     faults: float = 0.0
@@ -56,10 +52,10 @@
 
     @classmethod
     def from_wire(cls, faults: int, slowness: int) -> Condition:
-        """Return the condition that two fields of a record hold.
+        """Decode a condition from the fields of a record.
 
-        :param faults: in percent.
-        :param slowness: in tenths; 0 where it is not known.
+        :param faults: fault ratio in percent.
+        :param slowness: slowness in tenths; 0 if unknown.
 
         >>> Condition.from_wire(45, 62), Condition.from_wire(0, 0)
         (Condition(faults=0.45, slowness=6.2), Condition(faults=0.0, slowness=1.0))
@@ -80,47 +76,45 @@
 
     @property
     def is_well(self) -> bool:
-        """Whether the worker is like the others."""
+        """Whether fault ratio and slowness are within the usual range."""
         return self.faults < MIN_FAULT_RATIO and self.slowness < TOLERATED
 
     def decayed(self, age: float) -> Condition:
-        """Return what this counts as some seconds later."""
+        """Return the condition as receivers see it ``age`` seconds after the report."""
         return Condition(decayed(self.faults, age), decayed_slowness(self.slowness, age))
 
-    def is_far_from(self, other: Condition) -> bool:
-        """Return whether callers would choose otherwise by the other condition."""
-        if abs(self.faults - other.faults) > FAR_FAULTS:
+    def differs_notably_from(self, other: Condition) -> bool:
+        """Return whether the difference is large enough to affect the choice of workers."""
+        if abs(self.faults - other.faults) > REPORTED_FAULT_DIFFERENCE:
             return True
         lower, higher = sorted((max(TOLERATED, self.slowness), max(TOLERATED, other.slowness)))
-        return higher > FAR_SLOWNESS * lower
+        return higher > REPORTED_SLOWNESS_QUOTIENT * lower
 
 
 WELL = Condition()
-"""The condition of a worker of which nothing bad is known."""
+"""Condition of a worker without known faults or slowness."""
 
 
 def should_report(reported: Condition, age: float, current: Condition) -> bool:
-    """Return whether a worker's condition is to be reported to control.
+    """Return whether a report to control is due, apart from the minimum interval.
 
-    Reports are at least :data:`MIN_REPORT_SECONDS` apart besides.
-
-    :param reported: what was reported last.
-    :param age: seconds since then.
-    :param current: what the sidecar sees now.
+    :param reported: last reported condition.
+    :param age: seconds since that report.
+    :param current: condition now.
     """
-    believed = reported.decayed(age)
-    if current.is_far_from(believed):
+    decayed_report = reported.decayed(age)
+    if current.differs_notably_from(decayed_report):
         return True
-    # Control keeps what was reported until something else is: a recovery is reported, too.
-    return current.is_well and believed.is_well and not reported.is_well
+    # Control stores the last report without decay, so a recovery must be reported as well.
+    return current.is_well and decayed_report.is_well and not reported.is_well
 
 
 class WorkerCondition:
-    """What a sidecar sees of its own worker, and what it has reported of it.
+    """Condition of this sidecar's worker, and the last report of it.
 
-    :param clock: monotonic seconds.
-    :param on_report: called when callers should know of a new condition.
-    :ivar reported: what control is to know.
+    :param clock: returns monotonic seconds.
+    :param on_report: called with each new condition to report.
+    :ivar reported: last reported condition.
     """
 
     def __init__(self, clock: Callable[[], float], on_report: Callable[[Condition], None]) -> None:
@@ -132,11 +126,11 @@
         self.reported = WELL
 
     def run_ended(self, failed: bool, ratio: float | None) -> None:
-        """Record how a run ended, and report the condition if that is due.
+        """Record the end of a run, and report the condition if a report is due.
 
-        :param failed: whether by the worker's own fault.
-        :param ratio: its time as a multiple of what its route's runs are expected to take;
-            None where its time says nothing of the worker.
+        :param failed: whether the run failed by the worker's own fault.
+        :param ratio: run time as a multiple of the route's expected latency; None if the run
+            time is not representative.
         """
         now = self._clock()
         self._faults.sample(now, failed)
@@ -146,14 +140,14 @@
             self._on_report(self.reported)
 
     def now(self) -> Condition:
-        """Return the condition now."""
+        """Return the current condition."""
         now = self._clock()
         return Condition(self._faults.at(now), self._slowness.at(now))
 
     def renew(self) -> bool:
-        """Renew what is to be reported; return whether that has changed."""
+        """Update ``reported`` if a report is due; return whether it was updated."""
         age = self._clock() - self._reported_at
-        if age < MIN_REPORT_SECONDS:
+        if age < MIN_REPORT_INTERVAL_SECONDS:
             return False
         current = self.now()
         if not should_report(self.reported, age, current):
--- a/src/cranklane/sidecar/worker/discovery.py
+++ b/src/cranklane/sidecar/worker/discovery.py
@@ -1,7 +1,7 @@
-"""Looks once for a worker that was there before this process started.
+"""Probes for a worker that was already running when this process started.
 
-The worker's next heartbeat may be more than a second away; until then, or until the worker
-has answered at its health address, this machine's callers would be refused.
+Requests for the worker are refused until it is known, and its next heartbeat may be more than
+a second away.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class WorkerDiscovery:
-    """Probes the worker when the first route table names its health address."""
+    """Probes the worker once, as soon as a route table states its health path."""
 
     def __init__(
         self, runtime: Runtime, registry: WorkerRegistry, names: HeaderNames, log: Any
@@ -25,19 +25,21 @@
         self._log = log
         self._probe = WorkerProbe(runtime, registry.address, names) if registry.address else None
 
-    def health_path_known(self, path: str) -> None:
-        """Probe the worker in a task of its own; only the first call does.
+    def probe_once(self, path: str) -> None:
+        """Start the probe in a separate task; later calls have no effect.
 
-        :param path: of the worker's health address.
+        :param path: URL path of the worker's health check.
         """
         if self._probe is not None:
-            self._runtime.spawn(self._find, self._probe, path)
+            self._runtime.spawn(self._probe_worker, self._probe, path)
             self._probe = None
 
-    def _find(self, probe: WorkerProbe, path: str) -> None:
+    def _probe_worker(self, probe: WorkerProbe, path: str) -> None:
         if self._registry.instance:
             return
-        found = probe.find(path)
-        if found is not None:
-            self._log.info("worker_probed", instance=found.instance, slots=found.slots)
-            self._registry.probed(found)
+        probed_worker = probe.find(path)
+        if probed_worker is not None:
+            self._log.info(
+                "worker_probed", instance=probed_worker.instance, slots=probed_worker.slots
+            )
+            self._registry.apply_probe(probed_worker)
--- a/src/cranklane/sidecar/worker/exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -1,7 +1,7 @@
-"""Sends one request to the worker and reads its answer.
+"""Sends a request to the worker and reads the answer.
 
-Decides what an exchange that fails says of the request: whether it has not run, or may have. An
-answer counts only when it bears the request's own id and, for a success, the worker's mark.
+After a failure, decides whether the request has not run or may have run. An answer is accepted
+only if it repeats the request id and, for a success, carries the integrity header.
 """
 
 from __future__ import annotations
@@ -33,23 +33,23 @@
 from cranklane.sidecar.worker.pool import WorkerConnection, WorkerPool
 
 INLINE_SEND_BYTES = 16 * 1024
-"""Bytes of a body that are written before its answer is read. A choice: they fit the socket's
-buffer; a worker that answers before it has read more could otherwise block both sides."""
+"""Largest body that is sent before the answer is read. It fits the socket buffer: sending more
+could deadlock with a worker that answers before it has read the body."""
 
-# Plain numbers: to compare a status with a member of HTTPStatus takes 0.9 µs (timeit).
+# Plain integers, because comparing with members of HTTPStatus is slow.
 _MISDIRECTED = HTTPStatus.MISDIRECTED_REQUEST.value
 _FIRST_SUCCESS = HTTPStatus.OK.value
 _FIRST_REDIRECTION = HTTPStatus.MULTIPLE_CHOICES.value
 
 MAX_SURPLUS_ANSWERS = 4
-"""Answers read on a connection to find the request's own, those of other requests included. A
-choice: a worker that sends more is broken."""
+"""Answers read on a connection, including those to other requests, to find the expected one."""
 
 
 class WorkerExchange:
     """Runs requests at one worker.
 
-    :param on_other_instance: called with the start that answers when it is not the expected one.
+    :param on_unexpected_instance: called with the id of an instance that answers but is not the
+        expected one.
     """
 
     def __init__(
@@ -57,12 +57,12 @@
         runtime: Runtime,
         pool: WorkerPool,
         names: HeaderNames,
-        on_other_instance: Callable[[str], None],
+        on_unexpected_instance: Callable[[str], None],
     ) -> None:
         self._runtime = runtime
         self._pool = pool
         self._names = names
-        self._on_other_instance = on_other_instance
+        self._on_unexpected_instance = on_unexpected_instance
         self._request_name = names.request.lower()
         self._not_run_name = names.not_run.lower()
         self._integrity_name = names.integrity.lower()
@@ -71,16 +71,16 @@
     def run(
         self, attempt: Attempt, instance: str, deadline: float, on_sent: Callable[[], None]
     ) -> Reply:
-        """Send a request and return its answer; small ones whole.
+        """Send a request and return its answer, a large one with an iterator for its rest.
 
-        :param instance: the worker's start that may run it.
-        :param deadline: monotonic second at which nobody waits any more.
-        :param on_sent: called when the first byte is about to be sent.
+        :param instance: the worker instance that may run the request.
+        :param deadline: monotonic second at which the caller gives up.
+        :param on_sent: called just before the first byte is sent.
         """
         try:
-            connection = self._pool.take(careful=not attempt.request.idempotent)
+            connection = self._pool.take(always_check=not attempt.request.idempotent)
         except OSError:
-            # Nothing was sent, so it has certainly not run.
+            # Nothing was sent, so the request has not run.
             return refusal(Reason.WORKER_UNREACHABLE)
         attempt.when_cancelled(connection.close)
         try:
@@ -110,24 +110,24 @@
         connection.stream.settimeout(remaining)
         on_sent()
         sender = self._send(attempt, connection, instance, remaining)
-        head = self._own_answer(attempt.request, connection)
+        head = self._matching_answer(attempt.request, connection)
         if head is None:
             connection.close()
             return unknown(Reason.ANSWER_CUT)
-        connection.take_keep_alive(head)
+        connection.apply_keep_alive(head)
         if self._is_refusal(head):
-            return self._refused(head, connection)
+            return self._read_refusal(head, connection)
         if not self._is_genuine(head):
             connection.close()
             return unknown(Reason.ANSWER_CUT)
-        return self._answered(head, connection, sender)
+        return self._read_reply(head, connection, sender)
 
     def _is_refusal(self, head: AnswerHead) -> bool:
-        """Return whether an answer says that the request was not run."""
+        """Return whether an answer states that the request was not run."""
         return head.status == _MISDIRECTED or head.value(self._not_run_name) is not None
 
     def _is_genuine(self, head: AnswerHead) -> bool:
-        """Return whether an answer can be the worker's: each of its successes is marked."""
+        """Return whether an answer is an error or carries the worker's integrity header."""
         success = _FIRST_SUCCESS <= head.status < _FIRST_REDIRECTION
         return not success or head.value(self._integrity_name) is not None
 
@@ -154,53 +154,53 @@
         self._runtime.spawn(sender.run)
         return sender
 
-    def _own_answer(
+    def _matching_answer(
         self, request: ForwardRequest, connection: WorkerConnection
     ) -> AnswerHead | None:
-        """Return the head of this request's answer; those of others are thrown away."""
+        """Return the head of this request's answer; answers to other requests are discarded."""
         expected = request.request_id.encode()
         reader = connection.reader
         for _ in range(MAX_SURPLUS_ANSWERS):
             head = reader.next_head(request.bodiless)
-            answered = head.value(self._request_name)
-            if answered == expected:
+            answered_id = head.value(self._request_name)
+            if answered_id == expected:
                 return head
-            if answered is None:
+            if answered_id is None:
                 return None
             while reader.next_piece():
                 pass
             reader.finish()
         return None
 
-    def _refused(self, head: AnswerHead, connection: WorkerConnection) -> Reply:
+    def _read_refusal(self, head: AnswerHead, connection: WorkerConnection) -> Reply:
         misdirected = head.status == _MISDIRECTED
-        other = head.value(self._instance_name)
+        answering_instance = head.value(self._instance_name)
         try:
             while connection.reader.next_piece():
                 pass
             connection.reader.finish()
-            self._keep(head, connection)
+            self._release(head, connection)
         except (OSError, MessageCutError, MalformedMessageError):
-            # The refusal is known; only its body is not, and with it the connection's state.
+            # The refusal is valid without its body, but the connection cannot be reused.
             connection.close()
-        if misdirected and other is not None:
-            self._on_other_instance(other.decode("latin-1"))
+        if misdirected and answering_instance is not None:
+            self._on_unexpected_instance(answering_instance.decode("latin-1"))
         return refusal(Reason.WORKER_SHED, arrived=not misdirected)
 
-    def _answered(
+    def _read_reply(
         self, head: AnswerHead, connection: WorkerConnection, sender: BodySender | None
     ) -> Reply:
         reader = connection.reader
-        pieces: list[bytes] = []
+        body_parts: list[bytes] = []
         size = 0
         whole = False
         while size < SMALL_BODY_BYTES:
-            piece = reader.next_piece()
-            if not piece:
+            data = reader.next_piece()
+            if not data:
                 whole = True
                 break
-            pieces.append(piece)
-            size += len(piece)
+            body_parts.append(data)
+            size += len(data)
         reply = Reply(
             Outcome.ANSWERED,
             arrived=True,
@@ -208,47 +208,47 @@
             framing=head.framing,
             length=head.length,
             lines=header_lines(end_to_end(head.headers)),
-            body=b"".join(pieces),
+            body=b"".join(body_parts),
         )
         if whole:
-            self._end(head, connection, sender)
+            self._finish_exchange(head, connection, sender)
             if head.framing in (Framing.CHUNKED, Framing.UNTIL_CLOSE):
                 reply.framing, reply.length = Framing.LENGTH, size
         else:
-            reply.rest = self._rest(head, connection, sender)
+            reply.rest = self._stream_rest(head, connection, sender)
         return reply
 
-    def _rest(
+    def _stream_rest(
         self, head: AnswerHead, connection: WorkerConnection, sender: BodySender | None
     ) -> Iterator[bytes]:
         whole = False
         try:
             while True:
-                piece = connection.reader.next_piece()
-                if not piece:
+                data = connection.reader.next_piece()
+                if not data:
                     whole = True
                     return
-                yield piece
+                yield data
         except (OSError, MessageCutError, MalformedMessageError) as error:
             raise AnswerCutError(str(error)) from error
         finally:
             if whole:
-                self._end(head, connection, sender)
+                self._finish_exchange(head, connection, sender)
             else:
                 connection.close()
 
-    def _end(
+    def _finish_exchange(
         self, head: AnswerHead, connection: WorkerConnection, sender: BodySender | None
     ) -> None:
-        """Keep the connection when both messages have ended on it."""
+        """Return the connection to the pool if both request and answer are complete."""
         surplus = connection.reader.surplus
         connection.reader.finish()
         if surplus or (sender is not None and not sender.done):
             connection.close()
             return
-        self._keep(head, connection)
+        self._release(head, connection)
 
-    def _keep(self, head: AnswerHead, connection: WorkerConnection) -> None:
+    def _release(self, head: AnswerHead, connection: WorkerConnection) -> None:
         if head.keep_alive:
             self._pool.give_back(connection)
         else:
--- a/src/cranklane/sidecar/worker/exit.py
+++ b/src/cranklane/sidecar/worker/exit.py
@@ -1,8 +1,8 @@
-"""The runs under way at the worker, and which of them a worker's exit interrupted.
+"""Tracks the runs under way at the worker, and reports those interrupted by its exit.
 
-An exit is planned when the worker had said before that it leaves; any other exit is a crash,
-and the runs that it interrupted are suspected of it (``quarantine``). That a lost connection
-means an exit is decided by :mod:`cranklane.sidecar.worker.exit_check`.
+An exit is planned if the worker had announced it by draining or deregistering. Any other exit is
+a crash, and the interrupted runs are suspected of causing it (``quarantine``).
+:mod:`cranklane.sidecar.worker.exit_check` distinguishes an exit from a lost connection.
 """
 
 from __future__ import annotations
@@ -17,14 +17,15 @@
 from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
 
 LEAVING = (WorkerState.DRAINING, WorkerState.GONE)
-"""States in which an exit of the worker is planned."""
+"""States in which an exit of the worker is planned, not a crash."""
 
 
 class InterruptedRun(NamedTuple):
     """A run that was under way when the worker exited.
 
-    :ivar seconds: since it began.
-    :ivar suspicion_level: how strongly its request was suspected as it began.
+    :ivar request: id of the request.
+    :ivar seconds: run time until the exit.
+    :ivar suspicion_level: suspicion level of the request when the run began.
     """
 
     request: str
@@ -34,11 +35,11 @@
 
 
 class WorkerExit(NamedTuple):
-    """The exit of one start of the worker.
+    """The exit of a worker instance.
 
-    :ivar instance: that start.
-    :ivar planned: whether the worker had said that it leaves; otherwise it crashed.
-    :ivar runs: those under way, in the order in which they began.
+    :ivar instance: id of the instance.
+    :ivar planned: whether the worker had announced its exit; otherwise it crashed.
+    :ivar runs: interrupted runs in the order in which they began.
     """
 
     instance: str
@@ -53,9 +54,9 @@
 
 
 class WorkerExits:
-    """The runs under way at the worker, and the exits that interrupt them.
+    """Tracks runs at the worker and detects exits.
 
-    :param on_exit: called once for each exit.
+    :param on_exit: called once for each exit of an instance.
     """
 
     def __init__(
@@ -70,18 +71,19 @@
             else None
         )
         self._runs: dict[int, _Run] = {}
-        self._begun = 0
+        self._run_count = 0
         self._exited_instance = ""
 
     def next_number(self) -> int:
-        """Return a number for one more run."""
-        self._begun += 1
-        return self._begun
+        """Return a number that identifies a new run."""
+        self._run_count += 1
+        return self._run_count
 
     def began(self, number: int, request: ForwardRequest, suspicion_level: int) -> None:
         """Record that a run begins: its request is sent to the worker now.
 
-        :param suspicion_level: how strongly the request is suspected of crashes.
+        :param number: number of the run, from :meth:`next_number`.
+        :param suspicion_level: how strongly the request is suspected of crashing workers.
         """
         self._runs[number] = _Run(request, self._clock(), suspicion_level)
 
@@ -90,13 +92,13 @@
         self._runs.pop(number, None)
 
     def connection_lost(self, instance: str) -> bool:
-        """Record that a connection to a start of the worker was lost, and check for an exit.
+        """Check for an exit after a connection to a worker instance was lost.
 
-        :returns: whether that start has exited, not only the connection.
+        :returns: whether the instance has exited, rather than only lost a connection.
         """
         if instance == self._exited_instance:
             return True
-        # Read before the check, which takes time: the worker may be replaced meanwhile.
+        # Read before the check, which blocks: the worker may be replaced in the meantime.
         planned = self._worker.state in LEAVING
         if self._check is None or not self._check.has_exited():
             return False
@@ -119,5 +121,5 @@
 
 
 def identity_of_request(request: ForwardRequest) -> Identity:
-    """Return the identity of a request on its way to a worker."""
+    """Return the identity by which repeated submissions of a request are recognised."""
     return identity_of(request.service, request.tenant, request.lines, request.body, request.length)
--- a/src/cranklane/sidecar/worker/instances.py
+++ b/src/cranklane/sidecar/worker/instances.py
@@ -1,7 +1,6 @@
-"""The order of the worker's starts (instances), as their heartbeats came.
+"""History of worker instances, to reject heartbeats that are late or of superseded instances.
 
-Each heartbeat carries a sequence that grows with each call of its start, so that one that comes
-late is recognised.
+An instance is one start of the worker's process. Its heartbeats carry increasing sequence numbers.
 """
 
 from __future__ import annotations
@@ -10,20 +9,19 @@
 from typing import Any
 
 MAX_INSTANCES = 64
-"""Starts that are remembered. A choice: it bounds memory; the late calls of older starts have
-come long before 64 others have followed."""
+"""Instances that are remembered; bounds memory."""
 
 
 class InstanceHistory:
-    """The starts of one worker: their newest sequences, and which of them have ended."""
+    """Newest sequence number of each instance of a worker, and the instances that have ended."""
 
     def __init__(self) -> None:
-        # In the order in which they were first seen.
+        # Ordered by first heartbeat.
         self._sequences: OrderedDict[str, int] = OrderedDict()
         self._ended: OrderedDict[str, None] = OrderedDict()
 
     def advance(self, instance: str, sequence: int) -> bool:
-        """Record the sequence of a heartbeat; return False for one that came late.
+        """Record a heartbeat's sequence number; return False if the heartbeat is late.
 
         >>> history = InstanceHistory()
         >>> history.advance("a", 1), history.advance("a", 1), history.advance("a", 2)
@@ -31,23 +29,23 @@
         """
         if sequence <= self._sequences.get(instance, -1):
             return False
-        _remember(self._sequences, instance, sequence)
+        _store_bounded(self._sequences, instance, sequence)
         return True
 
     def end(self, instance: str) -> None:
-        """Record that a start is leaving or has left; that is final."""
-        _remember(self._ended, instance, None)
+        """Record that an instance drains or has deregistered; this is final."""
+        _store_bounded(self._ended, instance, None)
 
     def has_ended(self, instance: str) -> bool:
-        """Return whether a start has said that it leaves."""
+        """Return whether an instance has announced its exit."""
         return instance in self._ended
 
     def forget_sequence(self, instance: str) -> None:
-        """Forget a start, so that its next heartbeat counts whatever its sequence."""
+        """Forget an instance's sequence number, so that its next heartbeat is accepted."""
         self._sequences.pop(instance, None)
 
     def is_older(self, instance: str, other: str) -> bool:
-        """Return whether a start was first seen before another one.
+        """Return whether an instance's first heartbeat preceded that of another one.
 
         >>> history = InstanceHistory()
         >>> history.advance("a", 1), history.advance("b", 1)
@@ -55,13 +53,13 @@
         >>> history.is_older("a", "b"), history.is_older("b", "a")
         (True, False)
         """
-        for known in self._sequences:
-            if known in (instance, other):
-                return known == instance
+        for entry in self._sequences:
+            if entry in (instance, other):
+                return entry == instance
         return False
 
 
-def _remember(known: OrderedDict[str, Any], instance: str, value: Any) -> None:
-    known[instance] = value
-    while len(known) > MAX_INSTANCES:
-        known.popitem(last=False)
+def _store_bounded(entries: OrderedDict[str, Any], instance: str, value: Any) -> None:
+    entries[instance] = value
+    while len(entries) > MAX_INSTANCES:
+        entries.popitem(last=False)
--- a/src/cranklane/sidecar/worker/pool.py
+++ b/src/cranklane/sidecar/worker/pool.py
@@ -1,7 +1,7 @@
-"""Connections to the worker beside a sidecar, kept for reuse.
+"""Pool of idle connections to the worker.
 
-Decides when a kept connection may be used again: one that the worker is just closing would lose
-the request that is sent on it.
+Limits how long a connection may be idle, because a request sent while the worker closes the
+connection would be lost.
 """
 
 from __future__ import annotations
@@ -13,95 +13,91 @@
 from cranklane.common.http1.reader import AnswerReader
 from cranklane.runtime.interface import Address, Runtime
 
-CONNECT_SECONDS = 1.0
-"""Seconds for a connection to the worker. A choice: on one machine it takes less, unless the
-worker's queue of connections is full."""
+CONNECT_TIMEOUT_SECONDS = 1.0
+"""Connect timeout; reached only if the worker's accept queue is full."""
 
 MAX_HEAD_BYTES = 64 * 1024
-"""Bytes of an answer's head. A choice: it bounds memory; real heads are far smaller."""
+"""Limit on the size of an answer's head; bounds memory."""
 
 MAX_IDLE_SECONDS = 4.0
-"""Seconds after which an idle connection is not used again: the worker may be closing it at that
-moment. A choice: below the 5 s after which many servers close one."""
+"""Idle time after which a connection is not reused; below the common server timeout of 5 s."""
 
 UNCHECKED_SECONDS = 0.3
-"""Seconds in which a connection is used again without a look at whether it was closed. Together
-with fewer system calls for sockets it lowered the processor time of both sidecars from 0.35 to
-0.30 ms a request (one run each)."""
+"""Idle time up to which a connection is reused without a system call to check for its closing."""
 
 KEEP_ALIVE_MARGIN_SECONDS = 1.5
-"""Seconds by which a worker's ``Keep-Alive`` time is shortened. A choice: it is in whole seconds,
-so up to one may be rounding, and the rest is for the way of a request."""
+"""Seconds subtracted from the worker's ``Keep-Alive`` timeout, for rounding to whole seconds and
+for the transmission of a request."""
 
 
 class WorkerConnection:
-    """One connection to the worker and the reader of its answers.
+    """A connection to the worker and the reader of its answers.
 
-    :ivar rested_at: monotonic second at which its last answer had been read.
-    :ivar idle_seconds: how long it may rest and be used again.
+    :ivar idle_since: monotonic second at which the last answer had been read.
+    :ivar max_idle_seconds: idle time up to which the connection may be reused.
     """
 
-    __slots__ = ("stream", "reader", "rested_at", "idle_seconds")
+    __slots__ = ("stream", "reader", "idle_since", "max_idle_seconds")
 
     def __init__(self, stream: Any) -> None:
         self.stream = stream
         self.reader = AnswerReader(stream, MAX_HEAD_BYTES)
-        self.rested_at = 0.0
-        self.idle_seconds = MAX_IDLE_SECONDS
+        self.idle_since = 0.0
+        self.max_idle_seconds = MAX_IDLE_SECONDS
 
-    def take_keep_alive(self, head: AnswerHead) -> None:
-        """Apply the worker's ``Keep-Alive`` time, if it states one."""
+    def apply_keep_alive(self, head: AnswerHead) -> None:
+        """Apply the ``Keep-Alive`` timeout of an answer, if it states one."""
         value = head.value(b"keep-alive")
         if value is None:
             return
-        for part in value.split(b","):
-            name, _, seconds = part.strip().partition(b"=")
+        for parameter in value.split(b","):
+            name, _, seconds = parameter.strip().partition(b"=")
             if name.lower() == b"timeout" and seconds.isdigit():
-                kept_seconds = int(seconds) - KEEP_ALIVE_MARGIN_SECONDS
-                self.idle_seconds = max(0.0, min(MAX_IDLE_SECONDS, kept_seconds))
+                timeout_seconds = int(seconds) - KEEP_ALIVE_MARGIN_SECONDS
+                self.max_idle_seconds = max(0.0, min(MAX_IDLE_SECONDS, timeout_seconds))
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self.stream.close()
 
 
 class WorkerPool:
-    """Idle connections to one address; the one used last is taken first."""
+    """Idle connections to one address; the most recently used one is reused first."""
 
     def __init__(self, runtime: Runtime, address: Address) -> None:
         self._runtime = runtime
         self._idle: deque[WorkerConnection] = deque()
         self._address = address
 
-    def take(self, careful: bool) -> WorkerConnection:
-        """Return a connection on which nothing is under way.
+    def take(self, always_check: bool) -> WorkerConnection:
+        """Return an idle connection, or open one.
 
-        :param careful: whether to look first that the worker has not closed it,
-            as for a request that is not idempotent.
-        :raises OSError: when the worker takes no connection.
+        :param always_check: whether to check even a recently used connection for closing, as
+            for a request that is not idempotent.
+        :raises OSError: when a new connection cannot be opened.
         """
         now = self._runtime.monotonic()
         while self._idle:
-            kept = self._idle.pop()
-            rested = now - kept.rested_at
-            if rested < kept.idle_seconds:
-                look = careful or rested > UNCHECKED_SECONDS
-                if not (look and self._runtime.has_input(kept.stream)):
-                    return kept
-            kept.close()
-        return WorkerConnection(self._runtime.connect(self._address, CONNECT_SECONDS))
+            idle_connection = self._idle.pop()
+            idle_for = now - idle_connection.idle_since
+            if idle_for < idle_connection.max_idle_seconds:
+                check_closed = always_check or idle_for > UNCHECKED_SECONDS
+                if not (check_closed and self._runtime.has_input(idle_connection.stream)):
+                    return idle_connection
+            idle_connection.close()
+        return WorkerConnection(self._runtime.connect(self._address, CONNECT_TIMEOUT_SECONDS))
 
     def give_back(self, connection: WorkerConnection) -> None:
-        """Keep a connection whose answer has been read to its end."""
+        """Return a connection to the pool after its answer was read completely."""
         now = self._runtime.monotonic()
-        connection.rested_at = now
+        connection.idle_since = now
         self._idle.append(connection)
         oldest = self._idle[0]
-        if now - oldest.rested_at > oldest.idle_seconds:
+        if now - oldest.idle_since > oldest.max_idle_seconds:
             self._idle.popleft()
             oldest.close()
 
     def close_idle(self) -> None:
-        """Close every idle connection, as when the worker is another one now."""
+        """Close every idle connection, as after a change of the worker's instance."""
         while self._idle:
             self._idle.pop().close()
--- a/src/cranklane/sidecar/worker/probe.py
+++ b/src/cranklane/sidecar/worker/probe.py
@@ -1,6 +1,6 @@
-"""Asks a worker's health address which start it is, and how many slots it has.
+"""Queries a worker's health check for its instance and its number of slots.
 
-A worker that answers as healthy is not leaving, so it may get requests at once.
+A worker that reports itself healthy is not draining, so it can receive requests at once.
 """
 
 from __future__ import annotations
@@ -16,25 +16,24 @@
 from cranklane.runtime.interface import Address, Runtime, format_address
 from cranklane.sidecar.worker.pool import MAX_HEAD_BYTES
 
-PROBE_SECONDS = 0.5
-"""Seconds for a connection, and for an answer. A choice: a healthy worker on the same machine
-needs milliseconds."""
+PROBE_TIMEOUT_SECONDS = 0.5
+"""Timeout of the connection and of the answer."""
 
-MAX_TRIES = 3
-"""Tries to get an answer. A choice: a worker that has not answered by then sends heartbeats."""
+MAX_ATTEMPTS = 3
+"""Attempts to get an answer; after these, the worker becomes known by its heartbeats."""
 
-PAUSE_SECONDS = 0.2
-"""Seconds between two tries. A choice, as above."""
+RETRY_PAUSE_SECONDS = 0.2
+"""Pause between two attempts."""
 
 _LOAD_FIELDS = 3
-"""Numbers in the header that states a worker's load: running, waiting, slots."""
+"""Fields of the worker's load header: running, waiting, slots."""
 
 
 class ProbedWorker(NamedTuple):
-    """What a healthy worker says of itself.
+    """A healthy worker's answer to a probe.
 
-    :ivar instance: names its start.
-    :ivar slots: requests that it can run at once.
+    :ivar instance: id of the worker's instance.
+    :ivar slots: number of concurrent requests.
     """
 
     instance: str
@@ -42,7 +41,7 @@
 
 
 class WorkerProbe:
-    """Asks one worker, at its address."""
+    """Probes the worker at one address."""
 
     def __init__(self, runtime: Runtime, address: Address, names: HeaderNames) -> None:
         self._runtime = runtime
@@ -51,38 +50,38 @@
         self._load_name = names.load.lower()
 
     def find(self, path: str) -> ProbedWorker | None:
-        """Return what the worker says, after a few tries; None if it is not healthy.
+        """Probe the worker, with retries; return None if it is not healthy.
 
-        :param path: of its health address.
+        :param path: URL path of the health check.
         """
-        for attempt in range(MAX_TRIES):
+        for attempt in range(MAX_ATTEMPTS):
             if attempt:
-                gevent.sleep(PAUSE_SECONDS)
-            head = self._ask(path)
+                gevent.sleep(RETRY_PAUSE_SECONDS)
+            head = self._request_head(path)
             if head is not None:
-                return self._read(head)
+                return self._parse_answer(head)
         return None
 
-    def _ask(self, path: str) -> AnswerHead | None:
-        """Return the head of an answer, or None without one."""
+    def _request_head(self, path: str) -> AnswerHead | None:
+        """Request the health check once; return the answer's head, or None without an answer."""
         request = f"GET {path} HTTP/1.1\r\nHost: {format_address(self._address)}\r\n"
         try:
-            stream = self._runtime.connect(self._address, PROBE_SECONDS)
+            stream = self._runtime.connect(self._address, PROBE_TIMEOUT_SECONDS)
         except OSError:
-            # Not up yet, perhaps: another try or its heartbeat follows.
+            # The worker may still be starting; the next attempt or its heartbeat finds it.
             return None
         try:
-            stream.settimeout(PROBE_SECONDS)
+            stream.settimeout(PROBE_TIMEOUT_SECONDS)
             stream.sendall(request.encode("latin-1") + b"Connection: close\r\n\r\n")
             return AnswerReader(stream, MAX_HEAD_BYTES).next_head()
         except (OSError, MalformedMessageError, MessageCutError):
-            # As good as no answer.
+            # An incomplete or malformed answer counts as none.
             return None
         finally:
             stream.close()
 
-    def _read(self, head: AnswerHead) -> ProbedWorker | None:
-        """Return what an answer's headers state, None where it is not a healthy worker's."""
+    def _parse_answer(self, head: AnswerHead) -> ProbedWorker | None:
+        """Parse the headers of an answer; return None if they are not those of a healthy worker."""
         instance = head.value(self._instance_name)
         load = (head.value(self._load_name) or b"").split(b",")
         if head.status != HTTPStatus.OK or not instance or len(load) != _LOAD_FIELDS:
--- a/src/cranklane/sidecar/worker/registry.py
+++ b/src/cranklane/sidecar/worker/registry.py
@@ -1,8 +1,7 @@
-"""The worker beside this sidecar as its own heartbeats show it: which start, and in which state.
+"""Tracks the instance, state and slots of the worker beside this sidecar.
 
-Owns the worker's state and the number of slots that are used, and decides when the worker counts
-as leaving, unreachable or lost. A worker that says that it leaves gets nothing from then on: the
-sidecar is the only way to it.
+Decides from heartbeats and connection errors whether the worker is ready, draining, unreachable
+or lost. A draining worker gets no further requests, since all of them pass through this sidecar.
 """
 
 from __future__ import annotations
@@ -22,42 +21,40 @@
 from cranklane.sidecar.worker.probe import ProbedWorker
 
 USABLE_FRACTION = 0.95
-"""Fraction of its slots that a worker is given. A choice: some workers get slower when nearly
-full."""
+"""Fraction of a worker's slots that is used; some workers slow down when nearly full."""
 
 SMALL_WORKER_SLOTS = 10
-"""A worker with fewer slots is given all of them. A choice: one slot less would cost it
-a tenth or more."""
+"""Number of slots below which all of them are used."""
 
 MISSED_HEARTBEATS = 3.5
-"""Heartbeats in a row whose absence means that the worker is lost. A choice: three that are lost
-or late by chance do not."""
+"""Heartbeat intervals of silence after which the worker is lost; tolerates three missed ones."""
 
 SUSPENSION_HEARTBEATS = 2.0
-"""Heartbeats' times between two checks from which this machine is taken to have stood still. A
-choice: less than those that make a worker lost, and more than a busy process is late by."""
+"""Heartbeat intervals between two checks from which the machine was presumably suspended. Below
+:data:`MISSED_HEARTBEATS`, so that a suspension does not make the worker lost, but above the delay
+of a busy process."""
 
 
 class WorkerPhase(Enum):
-    """What a worker says of itself."""
+    """Phase that a worker states in its heartbeats."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class WorkerState(Enum):
-    """Whether requests may go to the worker."""
+    """State of the worker; requests are sent only in ``READY``."""
 
     UNKNOWN = "unheard"
-    """Nothing was received from it since this process started. The value stands in logs."""
+    """No heartbeat since this process started or the instance changed."""
     READY = "ready"
     DRAINING = "draining"
     UNREACHABLE = "unreachable"
-    """It took no connection; its next heartbeat makes it ready again."""
+    """It accepted no connection; its next heartbeat makes it ready again."""
     LOST = "lost"
     """Its heartbeats have stopped."""
     GONE = "gone"
-    """It deregistered."""
+    """It has deregistered."""
 
 
 _MEMBER_STATES = {
@@ -67,10 +64,11 @@
 
 
 class WorkerHeartbeat(NamedTuple):
-    """One heartbeat of a worker.
+    """A heartbeat of a worker.
 
-    :ivar slots: requests that it can run at once.
-    :ivar sequence: grows with each heartbeat of one start.
+    :ivar instance: id of the worker's instance.
+    :ivar slots: number of concurrent requests.
+    :ivar sequence: increases with each heartbeat of an instance.
     """
 
     instance: str
@@ -81,14 +79,14 @@
 
 
 class WorkerRegistry:
-    """The one worker of a machine.
-
-    :param service: the service this machine belongs to.
-    :param heartbeat_seconds: time between a worker's heartbeats.
-    :param slots: resized to what the worker can run.
-    :param on_change: called when what others should know has changed.
-    :ivar address: where it listens; None where this machine has no worker.
-    :ivar instance: the worker's newest start; empty while none is known.
+    """State of the machine's worker.
+
+    :param service: service of this machine, until a heartbeat states the worker's.
+    :param heartbeat_seconds: interval of the worker's heartbeats.
+    :param slots: resized to the worker's usable slots.
+    :param on_change: called when the state to announce to other processes has changed.
+    :ivar address: address of the worker; None if this machine has none.
+    :ivar instance: id of the worker's newest instance; empty while unknown.
     """
 
     def __init__(
@@ -116,23 +114,23 @@
 
     @property
     def member_state(self) -> MemberState:
-        """What other sidecars should know."""
+        """State to announce to control and other sidecars."""
         return _MEMBER_STATES.get(self.state, MemberState.GONE)
 
     @property
     def slots(self) -> int:
-        """Requests that the worker runs at once."""
+        """Usable slots of the worker."""
         return self._slots.limit
 
     def heartbeat(self, heartbeat: WorkerHeartbeat) -> None:
-        """Apply a heartbeat; one that is older than what is known changes nothing."""
+        """Apply a heartbeat; late ones and those of superseded instances are ignored."""
         instance = heartbeat.instance
         if not self._instances.advance(instance, heartbeat.sequence):
             return
         if instance != self.instance:
             if self._is_superseded(instance):
                 return
-            self._take_instance(instance)
+            self._adopt_instance(instance)
         self._last_heartbeat_at = self._runtime.monotonic()
         if self._instances.has_ended(instance):
             return
@@ -146,19 +144,19 @@
         else:
             self._set_state(WorkerState.READY)
 
-    def probed(self, worker: ProbedWorker) -> None:
-        """Apply what a healthy worker has answered, unless a heartbeat came before."""
+    def apply_probe(self, worker: ProbedWorker) -> None:
+        """Apply the result of a probe, unless a heartbeat has arrived before."""
         if self.instance:
             return
-        self._take_instance(worker.instance)
+        self._adopt_instance(worker.instance)
         self._last_heartbeat_at = self._runtime.monotonic()
         self._slots.resize(usable_slots(worker.slots))
         self._set_state(WorkerState.READY)
 
     def deregister(self, instance: str) -> None:
-        """Record that a start is about to exit."""
+        """Record that an instance is about to exit."""
         if not self.instance:
-            self._take_instance(instance)
+            self._adopt_instance(instance)
         if instance == self.instance:
             self._mark_leaving(instance, WorkerState.GONE)
         else:
@@ -172,33 +170,33 @@
         self._slots.refuse_waiting(Reason.DRAINING)
 
     def unreachable(self) -> None:
-        """Record that the worker accepts no connection."""
+        """Record that the worker accepted no connection."""
         if self.state is WorkerState.READY:
             self._set_state(WorkerState.UNREACHABLE)
 
     def other_instance(self, instance: str) -> None:
-        """Record that another start than the known one answers at the address."""
+        """Record that an instance other than the known one answered."""
         if instance and instance != self.instance:
             self._log.warning("worker_replaced", known=self.instance, answered=instance)
             self._set_state(WorkerState.UNREACHABLE)
             self._instances.forget_sequence(instance)
 
     def watch(self) -> None:
-        """Notice when heartbeats stop; never returns."""
+        """Detect missing heartbeats; never returns."""
         period = self._heartbeat_seconds
         checked_at = self._runtime.monotonic()
         while True:
             gevent.sleep(period)
             now = self._runtime.monotonic()
             if was_suspended(now - checked_at, period):
-                # The worker stood still as well: its silence says nothing of it.
+                # The worker was suspended as well, so its silence does not mean that it is lost.
                 self._last_heartbeat_at = now
             checked_at = now
             if is_lost(self.state, now - self._last_heartbeat_at, period):
                 self._set_state(WorkerState.LOST)
 
     def _is_superseded(self, instance: str) -> bool:
-        """Return whether an instance other than the current one is an older one."""
+        """Return whether an instance is older than the current one."""
         if not self.instance:
             return False
         if self._instances.has_ended(instance):
@@ -207,7 +205,7 @@
             return False
         return self._instances.is_older(instance, self.instance)
 
-    def _take_instance(self, instance: str) -> None:
+    def _adopt_instance(self, instance: str) -> None:
         self._log.info("worker_instance", instance=instance, former=self.instance)
         self.instance = instance
         self.state = WorkerState.UNKNOWN
@@ -226,9 +224,9 @@
 
 
 def was_suspended(seconds: float, heartbeat_seconds: float) -> bool:
-    """Return whether this machine stood still between two checks of the worker's silence.
+    """Return whether this machine was suspended between two checks of the heartbeats.
 
-    :param seconds: between the two checks, by a clock that counts a suspension.
+    :param seconds: time between the checks, by a clock that also runs during a suspension.
     """
     return seconds > SUSPENSION_HEARTBEATS * heartbeat_seconds
 
@@ -236,14 +234,14 @@
 def is_lost(state: WorkerState, silent_seconds: float, heartbeat_seconds: float) -> bool:
     """Return whether a worker's silence means that it is lost.
 
-    Only one that could get requests can be lost: others have said why they are silent.
+    Only workers in use are checked: draining and deregistered ones are expected to fall silent.
     """
     in_use = state in (WorkerState.READY, WorkerState.UNREACHABLE)
     return in_use and silent_seconds > MISSED_HEARTBEATS * heartbeat_seconds
 
 
 def usable_slots(slots: int) -> int:
-    """Return how many of a worker's slots are used.
+    """Return the number of a worker's slots that may be used.
 
     >>> usable_slots(4), usable_slots(14), usable_slots(44)
     (4, 13, 41)
--- a/src/cranklane/sidecar/worker/slowness.py
+++ b/src/cranklane/sidecar/worker/slowness.py
@@ -1,47 +1,40 @@
-"""How slow a worker is, as a multiple of the latency that is expected of each route.
+"""Slowness of workers: run time as a multiple of the route's expected latency.
 
-Load alone does not show a slow worker while there is little to do: it has few requests at
-once, like the others, but each of them takes long.
+Load does not reveal a slow worker in a lightly loaded service, since it has as few concurrent
+requests as the others.
 """
 
 from __future__ import annotations
 
 RISE_WEIGHT = 0.05
-"""Weight of a longer time in a route's expected latency. A choice, as below."""
+"""Weight of a run slower than expected in the moving average of a route's latency."""
 
 FALL_WEIGHT = 0.1
-"""Weight of a shorter time. A choice: the expected latency falls faster than it rises, so that one
-slow worker among several does not raise what is expected of all."""
+"""Weight of a faster run. Larger than :data:`RISE_WEIGHT`, so that one slow worker among several
+does not raise the expected latency."""
 
 MIN_LATENCY_SECONDS = 0.001
-"""Expected seconds up to which times are not compared. A choice: below a millisecond the
-scheduling of processes decides, not the worker."""
+"""Expected latency up to which run times are not compared, as process scheduling dominates."""
 
 MAX_ROUTES = 4096
-"""Routes whose expected latencies are kept; beyond that all are learnt anew. A choice that bounds
-memory: a few hundred bytes each."""
+"""Routes with an expected latency; beyond this limit all are cleared. Bounds memory."""
 
 SAMPLE_WEIGHT = 0.2
-"""Weight of the newest run in a worker's slowness. With 0.2 and a half-life of 3 s, 3.6% of
-requests went to slow workers; with 0.1 and 2 s it was 6.5% (model of 195 callers of 93 workers,
-15% of them five times slower, each request to workers drawn anew)."""
+"""Weight of the newest run in the moving average of a worker's slowness."""
 
 MAX_RATIO = 16.0
-"""Largest multiple of one run that counts. A choice: a single stuck run must not outweigh the
-good runs that follow it."""
+"""Cap on the ratio of a single run, so that a stuck run does not outweigh later good ones."""
 
 HALF_LIFE_SECONDS = 6.0
-"""Seconds in which slowness halves without a run, so that the worker is tried again. Requests to
-slow workers in that model, with subsets of 16 workers for each caller: 3.51% with 4 s, 1.50% with
-6 s, 0.52% with 8 s. A choice of 6 s: the longer, the later a recovered worker is used again."""
+"""Time in which slowness halves without runs. A longer half-life sends fewer requests to slow
+workers, but delays the return of recovered ones."""
 
 TOLERATED = 2.0
-"""Multiple of the expected latency that counts as usual. A choice: machines and requests differ
-by about as much."""
+"""Multiple of the expected latency that is within the usual variation of machines and requests."""
 
 
 def ratio_to(expected: float, seconds: float) -> float:
-    """Return a run's time as a multiple of the expected latency; 1 where none is known.
+    """Return a run time as a multiple of the expected latency; 1 if that is unknown or tiny.
 
     >>> ratio_to(0.1, 0.4), ratio_to(0.0, 0.4)
     (4.0, 1.0)
@@ -50,7 +43,7 @@
 
 
 def decayed_slowness(slowness: float, age: float) -> float:
-    """Return what a slowness that was learnt some seconds ago counts as now.
+    """Return the value of a slowness ``age`` seconds after it was sampled.
 
     >>> decayed_slowness(5.0, 0.0), decayed_slowness(5.0, 6.0), decayed_slowness(1.5, 6.0)
     (5.0, 3.0, 1.5)
@@ -61,17 +54,17 @@
 
 
 class ExpectedLatencies:
-    """The expected latency of each route, over all workers, in seconds."""
+    """Moving average of each route's latency over all workers, in seconds."""
 
     def __init__(self) -> None:
         self._expected: dict[str, float] = {}
 
     def of(self, route: str) -> float:
-        """Return a route's expected seconds, 0 when none are known."""
+        """Return a route's expected latency in seconds; 0 if unknown."""
         return self._expected.get(route, 0.0)
 
     def ratio(self, route: str, seconds: float) -> float:
-        """Return a run's time as a multiple of what was expected, and learn from it.
+        """Return a run time as a multiple of the expected latency, and update the latter.
 
         >>> latencies = ExpectedLatencies()
         >>> latencies.ratio("r", 0.1), round(latencies.ratio("r", 0.4), 3)
@@ -88,7 +81,7 @@
 
 
 class Slowness:
-    """The smoothed slowness of one worker; 1 is as expected."""
+    """Exponentially weighted slowness of one worker; 1 means as fast as expected."""
 
     __slots__ = ("_slowness", "_sampled_at")
 
@@ -97,7 +90,7 @@
         self._sampled_at = 0.0
 
     def sample(self, now: float, ratio: float) -> None:
-        """Record one run's time as a multiple of the expected latency, at a monotonic second."""
+        """Record the latency ratio of a run at a monotonic second."""
         current = self.at(now)
         self._slowness = current + SAMPLE_WEIGHT * (min(ratio, MAX_RATIO) - current)
         self._sampled_at = now
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -80,7 +80,7 @@
 MECHANISMS = {
     "request id of an answer": (
         WorkerExchange,
-        "_own_answer",
+        "_matching_answer",
         first_answer,
         test_mesh.test_surplus_and_late_answers_never_reach_another_caller,
     ),
--- a/tests/test_sidecar_rules.py
+++ b/tests/test_sidecar_rules.py
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rested", "careful", "closed", "reused"),
+    ("rested", "always_check", "closed", "reused"),
     [
         (0.2, False, True, True),
         (0.2, True, True, False),
@@ -142,7 +142,9 @@
         (4.1, False, False, False),
     ],
 )
-def test_a_kept_connection_is_used_again_unless_it_may_be_closed(rested, careful, closed, reused):
+def test_a_kept_connection_is_used_again_unless_it_may_be_closed(
+    rested, always_check, closed, reused
+):
     now = [100.0]
     runtime = SimpleNamespace(
         monotonic=lambda: now[0],
@@ -150,10 +152,10 @@
         connect=lambda address, seconds: SimpleNamespace(close=lambda: None),
     )
     pool = WorkerPool(runtime, ("worker", 1))
-    kept = pool.take(careful=False)
+    kept = pool.take(always_check=False)
     pool.give_back(kept)
     now[0] += rested
-    assert (pool.take(careful) is kept) is reused
+    assert (pool.take(always_check) is kept) is reused
 
 
 # The ingress.
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -11,7 +11,12 @@
 from cranklane.records.messages import Member, MemberDelta
 from cranklane.sidecar.routing.cost import condition_factor
 from cranklane.sidecar.routing.destinations import Destinations
-from cranklane.sidecar.worker.condition import MIN_REPORT_SECONDS, WELL, Condition, WorkerCondition
+from cranklane.sidecar.worker.condition import (
+    MIN_REPORT_INTERVAL_SECONDS,
+    WELL,
+    Condition,
+    WorkerCondition,
+)
 from cranklane_lab.evidence.report import run_evidence
 from cranklane_lab.evidence.trial import Shape, Trial
 from mesh_support import play
@@ -85,7 +90,7 @@
     for number in range(4000):
         clock.now += 0.001
         condition.run_ended(number % 400 < 200, 1.0)
-    assert 2 <= len(news) <= 4.0 / MIN_REPORT_SECONDS
+    assert 2 <= len(news) <= 4.0 / MIN_REPORT_INTERVAL_SECONDS
 
 
 def test_a_worker_that_gets_nothing_any_more_is_told_to_be_well_in_time():
