--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -1,7 +1,6 @@
-"""Follows control: takes its answers and reports this sidecar's state and tenants' usage.
+"""The sidecar's link to control: receives updates, reports worker state and tenants' usage.
 
-Owns the subscription to control and its times. What control decides is kept by the parts
-named in :class:`ControlledState`; this module only hands it to them.
+Updates are passed to the components in :class:`ControlledState`.
 """
 
 from __future__ import annotations
@@ -35,19 +34,18 @@
 from cranklane.sidecar.worker.condition import WorkerCondition
 
 TIMING = FollowTiming(heartbeat=0.5, silent=1.6, max_backoff=0.8, raises_incarnation=True)
-"""Times of the subscription in seconds. Control answers each heartbeat, so a silence as long as
-three of them means that it is lost. A choice: updates of members must come within seconds."""
+"""Times of the subscription in seconds. Control answers each heartbeat, so a silence of three
+heartbeat intervals means that the connection is lost."""
 
-USAGE_GATHER_SECONDS = 0.15
-"""Seconds over which tenants' usage is gathered before it is reported. In a model of 71 sidecars
-a surge of 7.5 times a tenant's rate stays within its bound with reports up to 0.3 s old."""
+USAGE_REPORT_DELAY_SECONDS = 0.15
+"""Seconds over which tenants' usage is accumulated before it is reported."""
 
-MAX_MEMBERS_IN_LINE = 20
-"""Members named in one log line. A choice: a whole fleet would fill the log at each start."""
+MAX_LOGGED_MEMBERS = 20
+"""Limit on the members listed in one log line, as a start transfers the whole fleet."""
 
 
 class ControlledState(NamedTuple):
-    """The parts of a sidecar that control keeps up to date."""
+    """Components of a sidecar that are updated by control."""
 
     table: AdoptedTable
     lease: TableLease
@@ -58,12 +56,12 @@
 
 
 class ControlLink:
-    """The connection of one sidecar to control.
+    """The link of one sidecar to control.
 
-    :param own: what is reported of this sidecar.
-    :param condition: of its worker, renewed before each heartbeat.
-    :param state: what control keeps up to date.
-    :ivar subscription: follows one controller after the other.
+    :param own: this sidecar's reported state.
+    :param condition: condition of the worker, updated before each heartbeat.
+    :param state: components that are updated by control.
+    :ivar subscription: connection to one controller at a time.
     """
 
     def __init__(
@@ -87,7 +85,7 @@
             own.subscription(),
             state.table,
             None,
-            Follower(self._heartbeat, self._take_members, on_answer=self._take_answer),
+            Follower(self._heartbeat, self._apply_members, on_answer=self._apply_answer),
             log,
             TIMING,
         )
@@ -98,19 +96,19 @@
         return self.subscription.connected
 
     def reload(self, settings: SidecarSettings) -> None:
-        """Start from other seeds the next time that control is looked for."""
+        """Use the seeds of new settings for the next connection to control."""
         self.subscription.start_from(_controllers(settings))
 
     def announce(self) -> None:
-        """Report this sidecar's state now, not with the next heartbeat."""
+        """Report this sidecar's state at once instead of with the next heartbeat."""
         self.subscription.announce()
 
     def report_usage(self) -> None:
-        """Report tenants' usage whenever there is any; never returns."""
+        """Report tenants' usage while there is any; never returns."""
         quota = self._state.quota
         while True:
             quota.used.wait()
-            gevent.sleep(USAGE_GATHER_SECONDS)
+            gevent.sleep(USAGE_REPORT_DELAY_SECONDS)
             self.subscription.send(self._usage)
 
     def _usage(self) -> UsageReport | None:
@@ -123,35 +121,39 @@
         self._lease_log.check()
         return self._own.heartbeat()
 
-    def _take_answer(self, message: Message) -> None:
-        """Apply an answer to a heartbeat, or the fractions of tenants' requests to admit."""
+    def _apply_answer(self, message: Message) -> None:
+        """Apply the answer to a heartbeat, or the fractions of tenants' requests to admit."""
         match message:
             case HeartbeatAnswer():
-                self._take_heartbeat_answer(message)
+                self._apply_heartbeat_answer(message)
             case TenantShares():
                 self._state.quota.take_shares(message.whole, message.shares)
 
-    def _take_heartbeat_answer(self, answer: HeartbeatAnswer) -> None:
-        asked_at = answer.asked_us / MICROSECONDS
-        self._state.quota.updated(asked_at)
+    def _apply_heartbeat_answer(self, answer: HeartbeatAnswer) -> None:
+        requested_at = answer.asked_us / MICROSECONDS
+        self._state.quota.updated(requested_at)
         if answer.confirmed:
-            newest_at = asked_at - answer.age_us / MICROSECONDS
+            newest_at = requested_at - answer.age_us / MICROSECONDS
             self._state.lease.confirmed(newest_at, answer.revision, self._state.table.version)
 
-    def _take_members(self, delta: MemberDelta) -> None:
+    def _apply_members(self, delta: MemberDelta) -> None:
         self._state.destinations.apply(delta)
         self._state.directory.apply(delta)
         if delta.whole:
-            # This process has just started, or it lost control and may have missed updates.
+            # This process has just started, or may have missed updates while disconnected.
             self._runtime.spawn(self._state.quarantine.anti_entropy.catch_up)
-        shown = delta.members[:MAX_MEMBERS_IN_LINE]
+        logged_members = delta.members[:MAX_LOGGED_MEMBERS]
         self._log.info(
             "members",
             whole=delta.whole,
-            changed=[f"{item.node}:{MemberState(item.state).name}" for item in shown],
+            changed=[
+                f"{member.node}:{MemberState(member.state).name}" for member in logged_members
+            ],
         )
 
 
 def _controllers(settings: SidecarSettings) -> list[Address]:
     """Return the addresses at which controllers listen for sidecars."""
-    return [parse_address(item) for item in peer_addresses(settings.seeds, settings.peer_port)]
+    return [
+        parse_address(address) for address in peer_addresses(settings.seeds, settings.peer_port)
+    ]
--- a/src/cranklane/sidecar/own_member.py
+++ b/src/cranklane/sidecar/own_member.py
@@ -1,8 +1,4 @@
-"""What a sidecar states about itself: to its own routing, to other sidecars and to control.
-
-Owns the sidecar's incarnation and whether it is stopping. Relies on the worker registry and
-on the worker's condition, which it only reads.
-"""
+"""Builds the records in which a sidecar describes itself to routing, other sidecars and control."""
 
 from __future__ import annotations
 
@@ -16,7 +12,7 @@
 class OwnMember:
     """This sidecar as a member of the fleet.
 
-    :param incarnation: distinguishes this process from earlier ones of its name.
+    :param incarnation: distinguishes this process from earlier ones of the same name.
     :ivar stopping: whether a planned stop has begun.
     """
 
@@ -45,14 +41,14 @@
         return self._worker.member_state
 
     def hello(self, version: int) -> Hello:
-        """Return the greeting for other sidecars.
+        """Return the first record of a connection to another sidecar.
 
         :param version: revision of the route table in force.
         """
         return Hello(incarnation=self.incarnation, version=version, node=self._name)
 
     def subscription(self) -> Subscribe:
-        """Return the request to follow control."""
+        """Return the request to subscribe to control's updates."""
         return Subscribe(
             incarnation=self.incarnation,
             everything=True,
@@ -63,7 +59,7 @@
         )
 
     def heartbeat(self) -> Heartbeat:
-        """Return what control is to know now."""
+        """Return a heartbeat with the current state."""
         worker = self._worker
         reported = self._condition.reported
         return Heartbeat(
@@ -76,7 +72,7 @@
         )
 
     def next_member(self) -> Member:
-        """Return this sidecar's entry for its own routing, newer than all before."""
+        """Return this sidecar's member entry for its own routing, with the next sequence number."""
         self._sequence += 1
         return Member(
             incarnation=self.incarnation,
--- a/src/cranklane/sidecar/planned_stop.py
+++ b/src/cranklane/sidecar/planned_stop.py
@@ -1,4 +1,4 @@
-"""The times of a planned stop: how long callers get to leave, and requests to finish."""
+"""The schedule of a planned stop: time for callers to notice it and for requests to finish."""
 
 from __future__ import annotations
 
@@ -9,31 +9,28 @@
 
 from cranklane.runtime.interface import Runtime
 
-WITHDRAWAL_SECONDS = 2.2
-"""Seconds that callers may need to notice a stop. A choice: longer than it takes a caller to give
-up a controller that was lost (1.6 s) and to hear from another one (0.5 s)."""
+MAX_WITHDRAWAL_SECONDS = 2.2
+"""Time for callers to notice a stop: they may have to detect a lost controller (1.6 s) and receive
+an update from another one (0.5 s)."""
 
 MAX_WITHDRAWAL_FRACTION = 0.5
-"""Fraction of the whole stop that withdrawal may take. A choice: requests need the rest."""
+"""Upper limit on the withdrawal time as a fraction of the stop."""
 
 MAX_ACCEPTING_FRACTION = 0.5
-"""Fraction of the whole stop after which clients' requests are refused. Where most machines of a
-zone stop at once, clients have nowhere else to go and send until the end: without the refusal,
-9 of 55 requests of 0.9 s were cut by the end of a stop of 6 s (simulation). A choice: the other
-half is for the requests under way."""
+"""Fraction of the stop after which clients' requests are refused, to leave time for those under
+way: if most machines of a zone stop at once, clients keep sending for lack of alternatives."""
 
-MARGIN_SECONDS = 0.5
-"""Seconds kept in reserve of the time that settings allow for a stop, for closing and for the
-last log lines. A choice."""
+CLOSE_MARGIN_SECONDS = 0.5
+"""Seconds of the configured stop time reserved for closing and for the last log lines."""
 
-IDLE_CHECK_SECONDS = 0.05
-"""Seconds between checks whether all requests have ended. A choice: short against the stop."""
+IDLE_CHECK_INTERVAL_SECONDS = 0.05
+"""Seconds between checks whether all requests have ended."""
 
 
 class StopTimes(NamedTuple):
-    """The times of one planned stop.
+    """The schedule of a planned stop.
 
-    :ivar withdrawal_seconds: how long callers have to notice the stop.
+    :ivar withdrawal_seconds: time for callers to notice the stop.
     :ivar accepts_until: monotonic second from which clients' requests are refused.
     :ivar ends_at: monotonic second after which requests under way are cut.
     """
@@ -44,22 +41,22 @@
 
 
 def stop_times(began_at: float, stop_seconds: float) -> StopTimes:
-    """Return the times of a stop.
+    """Return the schedule of a stop.
 
-    :param began_at: monotonic second at which it began.
-    :param stop_seconds: seconds that the whole stop may take.
+    :param began_at: monotonic second at which the stop began.
+    :param stop_seconds: configured duration of the whole stop.
 
     >>> stop_times(100.0, 6.0)
     StopTimes(withdrawal_seconds=2.2, accepts_until=103.0, ends_at=105.5)
     """
     return StopTimes(
-        withdrawal_seconds=min(WITHDRAWAL_SECONDS, stop_seconds * MAX_WITHDRAWAL_FRACTION),
+        withdrawal_seconds=min(MAX_WITHDRAWAL_SECONDS, stop_seconds * MAX_WITHDRAWAL_FRACTION),
         accepts_until=began_at + stop_seconds * MAX_ACCEPTING_FRACTION,
-        ends_at=began_at + stop_seconds - MARGIN_SECONDS,
+        ends_at=began_at + stop_seconds - CLOSE_MARGIN_SECONDS,
     )
 
 
 def wait_until_idle(runtime: Runtime, is_busy: Callable[[], bool], ends_at: float) -> None:
-    """Wait until no request is under way, or until a monotonic second."""
+    """Wait until no request is under way, or until the monotonic second ``ends_at``."""
     while is_busy() and runtime.monotonic() < ends_at:
-        gevent.sleep(IDLE_CHECK_SECONDS)
+        gevent.sleep(IDLE_CHECK_INTERVAL_SECONDS)
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -1,8 +1,4 @@
-"""A sidecar: its parts put together, started and stopped.
-
-Decides nothing itself: each part has a module of its own, and this one hands the parts to
-each other. It owns the process's listeners and the order of a start and of a planned stop.
-"""
+"""Builds a sidecar from its components, opens its ports, and performs a planned stop."""
 
 from __future__ import annotations
 
@@ -48,9 +44,9 @@
 
 
 class Sidecar:
-    """One sidecar.
+    """A sidecar process.
 
-    :param names: headers between callers, sidecars and workers.
+    :param names: names of the headers between callers, sidecars and workers.
     """
 
     def __init__(
@@ -111,7 +107,7 @@
             self.peers.exchange,
             self._log,
         )
-        self._caught_up_for = ""
+        self._caught_up_instance = ""
 
     def _build_gate(self, call_tree: CallTree, disconnects: DisconnectWatch) -> None:
         runtime = self._runtime
@@ -187,26 +183,24 @@
         )
         add_gauges(self.metrics, sources)
 
-    # Start.
-
     def start(self) -> None:
-        """Open the ports and follow control."""
+        """Open the ports and start the background tasks."""
         settings = self.settings
         self._listen(settings.listen, self.peer_server.accept)
         self._serve(settings.readiness, ReadinessApi(self.is_ready).handle)
         self._serve(settings.registry, WorkerApi(self.worker, self._log).handle)
         self._listen(settings.callers, self.ingress.accept)
         if settings.metrics:
-            operators = QuarantineApi(
+            quarantine_api = QuarantineApi(
                 self.quarantine.table,
                 lambda: self.settings.operator_digest,
                 self._log,
                 MetricsServer(self.metrics.text).handle,
             )
-            self._serve(settings.metrics, operators.handle)
+            self._serve(settings.metrics, quarantine_api.handle)
         self._runtime.spawn(self.control.subscription.follow)
         self._runtime.spawn(self.worker.watch)
-        self._runtime.spawn(self.decisions.summarise)
+        self._runtime.spawn(self.decisions.log_summaries)
         self._runtime.spawn(self.control.report_usage)
         self._runtime.spawn(self.quarantine.anti_entropy.run)
         self._log.info("started", service=settings.service, seeds=settings.seeds)
@@ -217,21 +211,21 @@
         )
 
     def _serve(self, address: str, handler: SmallHandler) -> None:
-        """Answer the HTTP calls of one port."""
+        """Serve an HTTP API on one port."""
         self._listen(address, SmallHttp(self._runtime, handler).accept)
 
     def is_ready(self) -> bool:
-        """Return whether callers may send requests here."""
+        """Return whether callers may send requests to this sidecar."""
         return self.adopted.version > 0 and not self.own.stopping
 
     def reload(self, settings: SidecarSettings) -> None:
-        """Apply changed settings: the seeds and the operators' digest can change."""
+        """Apply changed settings; only ``seeds`` and ``operator_digest`` may differ."""
         if settings.seeds != self.settings.seeds:
             self._log.info("seeds_changed", seeds=settings.seeds)
         self.settings = settings
         self.control.reload(settings)
 
-    # Callbacks of the parts.
+    # Callbacks of the components.
 
     def _hello(self) -> Hello:
         return self.own.hello(self.adopted.version)
@@ -252,18 +246,16 @@
         self._runtime.spawn(self.control.announce)
 
     def _worker_changed(self) -> None:
-        if self.worker.instance != self._caught_up_for:
-            self._caught_up_for = self.worker.instance
+        if self.worker.instance != self._caught_up_instance:
+            self._caught_up_instance = self.worker.instance
             self._runtime.spawn(self.quarantine.anti_entropy.catch_up)
         self.destinations.set_own(self.own.next_member())
         self.control.announce()
 
-    # Stop.
-
     def stop(self) -> bool:
-        """Stop as planned: take what still comes, and finish what is under way.
+        """Stop as planned: withdraw, accept requests for a while, and finish those under way.
 
-        :returns: whether everything was finished.
+        :returns: whether all requests finished.
         """
         if self.own.stopping:
             return True
@@ -284,14 +276,14 @@
         return finished
 
     def _withdraw(self) -> None:
-        """State everywhere that this sidecar takes no new requests."""
+        """Announce to control and callers that this sidecar is draining."""
         self.own.stopping = True
         self.ingress.stopping = True
         self._log.info("stopping", in_flight=self.ingress.in_flight, running=self.slots.running)
         self._worker_changed()
 
     def _close(self) -> bool:
-        """Close the ports and idle connections; return whether no request was cut."""
+        """Close the ports and idle connections; return whether all requests had finished."""
         for listener in self._listeners:
             listener.close()
         finished = not self._is_busy()
--- a/src/cranklane/sidecar/readiness_api.py
+++ b/src/cranklane/sidecar/readiness_api.py
@@ -1,4 +1,4 @@
-"""Answers whether callers may send requests to this sidecar: ``GET /v1/ready``, 200 or 503."""
+"""Readiness check ``GET /v1/ready``: 200 if callers may send requests, otherwise 503."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReadinessApi:
-    """Answers one HTTP call.
+    """Serves the readiness check.
 
     :param is_ready: returns whether callers may send requests.
     """
@@ -24,7 +24,7 @@
         self._is_ready = is_ready
 
     def handle(self, method: str, path: str, _body: bytes) -> SmallAnswer:
-        """Answer a call, also with "no such call"."""
+        """Return the answer to a call; 404 for unknown paths and methods."""
         if method != "GET" or path != READY_PATH:
             return _NOT_FOUND
         return _READY if self._is_ready() else _NOT_READY
--- a/src/cranklane/sidecar/table/__init__.py
+++ b/src/cranklane/sidecar/table/__init__.py
@@ -1,1 +1,1 @@
-"""The route table in force at a sidecar, and how certain it is to be the newest."""
+"""The route table in force at a sidecar, and its freshness."""
--- a/src/cranklane/sidecar/table/adopted_table.py
+++ b/src/cranklane/sidecar/table/adopted_table.py
@@ -1,6 +1,6 @@
-"""The route table in force at a sidecar, kept up to date from control's deltas.
+"""The route table in force at a sidecar, updated by deltas from control.
 
-Owns the table and its revision. A table is replaced as a whole, so that a request sees one state.
+Each update replaces the table object, so that a request sees one consistent state.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from cranklane.routes.rows import with_rows
 from cranklane.routes.table import RouteTable
 
-MAX_PROBLEMS = 3
-"""Problems of an unreadable table that are logged. A choice: the first ones show the cause."""
+MAX_LOGGED_PROBLEMS = 3
+"""Limit on the logged problems of an unreadable table."""
 
 
 class AdoptedTable:
-    """Applies control's deltas in order and never steps back.
+    """Applies deltas from control; older revisions than the one in force are rejected.
 
-    :param on_adopt: called after each delta, also one without rows.
-    :ivar version: revision of the newest table in force; 0 before the first.
-    :ivar table: that table.
+    :param on_adopt: called after each applied delta, including those without rows.
+    :ivar version: revision in force; 0 before the first delta.
+    :ivar table: route table in force; empty before the first delta.
     """
 
     def __init__(self, log: Any, on_adopt: Callable[[], None]) -> None:
@@ -34,23 +34,23 @@
         self.table = RouteTable()
 
     def adopt(self, delta: ConfigDelta) -> bool:
-        """Apply a delta; return False when it is older than what is in force."""
+        """Apply a delta; return False if it is older than the revision in force."""
         if delta.version < self.version:
             return False
         if delta.rows:
-            self._take(delta)
+            self._apply_rows(delta)
         self.version = delta.version
         self._on_adopt()
         return True
 
-    def _take(self, delta: ConfigDelta) -> None:
-        read = self._read(delta)
-        if isinstance(read, Err):
-            # Control checks each table with the same code, so this is a fault of the program.
-            # The table in force stays.
-            self._log.error("route_table_unreadable", problem=read.err_value)
+    def _apply_rows(self, delta: ConfigDelta) -> None:
+        result = self._read(delta)
+        if isinstance(result, Err):
+            # Control validates each table with the same code, so this is a bug. The table in
+            # force stays in use.
+            self._log.error("route_table_unreadable", problem=result.err_value)
             return
-        self.table = read.ok_value
+        self.table = result.ok_value
         self._log.info(
             "route_table_in_force",
             version=self.table.version,
@@ -64,5 +64,5 @@
         if not delta.whole:
             return with_rows(self.table, delta.rows)
         whole = next(row.value for row in delta.rows if row.key == ROUTE_TABLE_ROW)
-        read = read_json(unpack_document(whole)).and_then(read_table)
-        return read.map_err(lambda problems: "; ".join(problems[:MAX_PROBLEMS]))
+        result = read_json(unpack_document(whole)).and_then(read_table)
+        return result.map_err(lambda problems: "; ".join(problems[:MAX_LOGGED_PROBLEMS]))
--- a/src/cranklane/sidecar/table/table_lease.py
+++ b/src/cranklane/sidecar/table/table_lease.py
@@ -1,9 +1,9 @@
-"""Decides how long the route table in force here may be trusted to be the newest.
+"""Lease on the route table: decides whether it is fresh enough to authenticate requests by key.
 
-A key that an operator has revoked must run nowhere after a stated time, also at a sidecar that
-is cut off from control. So requests with a key are served only while a controller has confirmed
-recently enough that no newer table is in force. What counts is the moment at which the
-confirmation was asked for: its answer may have been under way for long.
+A revoked key must be rejected everywhere after a configured time, even at a sidecar that is cut
+off from control. Requests with a key are therefore served only if a controller has recently
+confirmed the table as the newest. The lease starts when the confirmation was requested, because
+its answer may be delayed.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 
 from cranklane.sidecar.table.adopted_table import AdoptedTable
 
-CLOCK_MARGIN = 0.05
-"""Fraction of the time after which a revocation must hold that is kept in reserve. A choice: the
-steady clocks of two machines differ in rate by far less."""
+CLOCK_MARGIN_FRACTION = 0.05
+"""Fraction of the revocation time kept in reserve for clocks that run at different rates."""
 
 
 class TableLease:
     """Freshness of the route table of one sidecar.
 
-    :param clock: monotonic seconds.
-    :param revocation_seconds: after its acknowledgement, a revocation must hold everywhere
-        after these seconds; 0: it need not hold at sidecars that are out of touch.
+    :param clock: returns monotonic seconds.
+    :param revocation_seconds: time after which an acknowledged revocation must be in effect
+        everywhere; 0 exempts sidecars without contact to control.
     """
 
     def __init__(self, clock: Callable[[], float], revocation_seconds: float) -> None:
         self._clock = clock
-        self._seconds = revocation_seconds * (1 - CLOCK_MARGIN)
+        self._lease_seconds = revocation_seconds * (1 - CLOCK_MARGIN_FRACTION)
         self._newest_at = -math.inf
         self._pending_at = -math.inf
         self._pending_revision = 0
 
     def confirmed(self, newest_at: float, revision: int, in_force: int) -> None:
-        """Record that a revision was the newest at a moment of this process's clock.
+        """Record that a controller confirmed a revision as the newest.
 
-        :param newest_at: that moment, in monotonic seconds.
-        :param revision: the revision that was confirmed.
-        :param in_force: the revision in force here; an older one waits for :meth:`adopted`.
+        :param newest_at: monotonic second at which it certainly was the newest.
+        :param revision: confirmed revision.
+        :param in_force: revision in force here; if it is older, the confirmation takes effect
+            with :meth:`adopted`.
         """
         if in_force >= revision:
             self._newest_at = max(self._newest_at, newest_at)
@@ -48,36 +48,36 @@
             self._pending_revision = revision
 
     def adopted(self, revision: int) -> None:
-        """Record that a revision is in force here now."""
+        """Record that a revision came into force here."""
         if revision >= self._pending_revision:
             self._newest_at = max(self._newest_at, self._pending_at)
 
     @property
     def age(self) -> float:
-        """Seconds since the table in force was certainly the newest."""
+        """Seconds since the table in force was last confirmed as the newest."""
         return self._clock() - self._newest_at
 
     @property
     def holds(self) -> bool:
         """Whether requests with a key may be served."""
-        return self._seconds <= 0 or self.age <= self._seconds
+        return self._lease_seconds <= 0 or self.age <= self._lease_seconds
 
 
 class TableLeaseLog:
-    """Logs when requests with a key begin or cease to be served."""
+    """Logs when the lease is lost or regained."""
 
     def __init__(self, lease: TableLease, table: AdoptedTable, log: Any) -> None:
         self._lease = lease
         self._table = table
         self._log = log
-        self._held = True
+        self._was_valid = True
 
     def check(self) -> None:
-        """Log a change since the last check; nothing where no request needs a key."""
+        """Log a change since the last check, unless the table has no tenants."""
         holds = self._lease.holds
         table = self._table.table
-        if holds == self._held or table.tenants is None:
+        if holds == self._was_valid or table.tenants is None:
             return
-        self._held = holds
+        self._was_valid = holds
         event = "table_lease_regained" if holds else "table_lease_lost"
         self._log.warning(event, table=table.version, age=round(self._lease.age, 2))
--- a/src/cranklane/sidecar/telemetry/decision_log.py
+++ b/src/cranklane/sidecar/telemetry/decision_log.py
@@ -1,8 +1,8 @@
-"""Logs and counts what a sidecar decides about requests.
+"""Logs and counts a sidecar's decisions on requests.
 
-Each refused, failed or late request, and each attempt without an answer, has a line while the
-rate allows; of those that went well a sample has one. All lines of one request bear its id, at
-every sidecar that it passed. Counters and the summary of each second leave nothing out.
+Lines are rate-limited: one limit for refused, failed and late requests and for failed attempts,
+and a lower one for a sample of successful requests. Lines contain the request id, which is the
+same at all sidecars. Counters and the summary lines cover every request.
 """
 
 from __future__ import annotations
@@ -25,45 +25,42 @@
 from cranklane.sidecar.worker.exit import WorkerExit
 
 PROBLEM_LINES_PER_SECOND = 100.0
-"""Lines a second on problems. A choice: enough to follow an incident, and a bound on the disk."""
+"""Rate limit of lines on refused, failed and late requests and attempts; bounds disk use."""
 
 SUCCESS_LINES_PER_SECOND = 10.0
-"""Lines a second on requests that went well. A choice: a sample to compare problems with."""
+"""Rate limit of lines on successful requests."""
 
-SUMMARY_SECONDS = 5.0
-"""Seconds between the lines that count what was left out, and the longest that a request waits
-for its summary. A choice."""
+SUMMARY_INTERVAL_SECONDS = 5.0
+"""Seconds between lines that count omitted lines; also the longest delay of a request summary."""
 
-MAX_RUNS_IN_LINE = 100
-"""Runs named in one line on a worker's exit; their number is always there. A choice: a line stays
-readable, and few workers run more at once."""
+MAX_LOGGED_RUNS = 100
+"""Limit on the runs listed in the line on a worker's exit; the line always states their number."""
 
-
-MAX_AGE_SECONDS = 1_000_000.0
-"""Age of a table from which a line has none: it was never confirmed."""
+MAX_LOGGED_AGE_SECONDS = 1_000_000.0
+"""Table age from which the age is logged as None: the table was never confirmed."""
 
 
 class DecisionLog:
-    """Writes decision lines within their rates, and counts each decision.
+    """Logs decisions within the rate limits, and counts each of them.
 
-    :param clock: monotonic seconds.
+    :param clock: returns monotonic seconds.
     """
 
     def __init__(self, clock: Callable[[], float], metrics: SidecarMetrics, log: Any) -> None:
         self._clock = clock
         self._metrics = metrics
         self._log = log
-        self._problems = RateLimit(clock, PROBLEM_LINES_PER_SECOND)
-        self._successes = RateLimit(clock, SUCCESS_LINES_PER_SECOND)
+        self._problem_limit = RateLimit(clock, PROBLEM_LINES_PER_SECOND)
+        self._success_limit = RateLimit(clock, SUCCESS_LINES_PER_SECOND)
         self._summary = RequestSummary(clock, log)
 
     def attempted(
         self, progress: CallProgress, destination: Destination, reply: Reply, seconds: float
     ) -> None:
-        """Log an attempt that has ended, with what made this destination the choice."""
+        """Count an attempt; log a failed one with the state of its destination."""
         call = progress.call
         self._metrics.attempt(call.service, reply.outcome, reply.reason)
-        if reply.outcome is Outcome.ANSWERED or not self._problems.allows():
+        if reply.outcome is Outcome.ANSWERED or not self._problem_limit.allows():
             return
         self._log.info(
             "attempt",
@@ -85,13 +82,13 @@
         )
 
     def decided(self, decision: Decision) -> None:
-        """Log and count what became of a request."""
+        """Count and log the result of a request."""
         end = end_of(decision)
         self._metrics.request(decision)
         if decision.of_client:
             self._metrics.work(decision.work, end)
             self._summary.add(decision, end)
-        limit = self._successes if end is End.IN_TIME else self._problems
+        limit = self._success_limit if end is End.IN_TIME else self._problem_limit
         if not limit.allows():
             return
         self._log.info(
@@ -113,9 +110,9 @@
         )
 
     def refused_at_ingress(self, refusal: IngressRefusal) -> None:
-        """Log that a request was refused for its key, its tenant's limit or a stale table."""
+        """Count and log a request refused for its key, its tenant's rate or a stale table."""
         self._metrics.ingress_refusal(refusal.reason)
-        if not self._problems.allows():
+        if not self._problem_limit.allows():
             return
         self._log.info(
             "ingress_refusal",
@@ -123,15 +120,21 @@
             reason=refusal.reason.label,
             tenant=refusal.tenant,
             admitted_permille=refusal.admitted_permille,
-            table_age=round(refusal.table_age, 2) if refusal.table_age < MAX_AGE_SECONDS else None,
+            table_age=round(refusal.table_age, 2)
+            if refusal.table_age < MAX_LOGGED_AGE_SECONDS
+            else None,
         )
 
     def admission(
         self, request: str, reason: Reason, running: int, queued: int, slots: int, waited: float
     ) -> None:
-        """Log what the gate beside the worker decided."""
+        """Count a decision of the worker's gate; log a refusal.
+
+        :param reason: reason of the refusal; NONE for an admission.
+        :param waited: seconds until the decision.
+        """
         self._metrics.admission(reason, waited)
-        if reason is Reason.NONE or not self._problems.allows():
+        if reason is Reason.NONE or not self._problem_limit.allows():
             return
         self._log.info(
             "admission",
@@ -144,8 +147,8 @@
         )
 
     def quarantined(self, call: Call, identity: Identity, seconds_left: float) -> None:
-        """Log that a request of this machine's callers is quarantined."""
-        if not self._problems.allows():
+        """Log that a request of this machine's callers was refused because it is quarantined."""
+        if not self._problem_limit.allows():
             return
         self._log.info(
             "quarantine_refusal",
@@ -156,7 +159,7 @@
         )
 
     def worker_exited(self, exited: WorkerExit) -> None:
-        """Log that the worker's process has exited, and what it was running."""
+        """Count and log an exit of the worker's process, with the interrupted runs."""
         self._metrics.worker_exited(exited.planned)
         self._log.warning(
             "worker_ended",
@@ -165,17 +168,17 @@
             running=len(exited.runs),
             runs=[
                 [run.request, run.identity.hex(), round(run.seconds, 3)]
-                for run in exited.runs[:MAX_RUNS_IN_LINE]
+                for run in exited.runs[:MAX_LOGGED_RUNS]
             ],
         )
 
-    def summarise(self) -> None:
-        """Log from time to time how many lines were left out; never returns."""
+    def log_summaries(self) -> None:
+        """Write the summaries and the counts of omitted lines periodically; never returns."""
         while True:
-            gevent.sleep(SUMMARY_SECONDS)
+            gevent.sleep(SUMMARY_INTERVAL_SECONDS)
             self._summary.write()
-            problems = self._problems.take_left_out()
-            successes = self._successes.take_left_out()
+            problems = self._problem_limit.take_left_out()
+            successes = self._success_limit.take_left_out()
             self._metrics.lines_left_out(problems + successes)
             if problems or successes:
                 self._log.info("lines_left_out", problems=problems, successes=successes)
--- a/src/cranklane/sidecar/telemetry/gauges.py
+++ b/src/cranklane/sidecar/telemetry/gauges.py
@@ -1,4 +1,4 @@
-"""The gauges of a sidecar: figures that are read from its parts when somebody asks."""
+"""The gauges of a sidecar, read from its components at each scrape."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class GaugeSources(NamedTuple):
-    """The parts that gauges are read from.
+    """Components whose state the gauges expose.
 
     :ivar is_ready: returns whether callers may send requests.
     :ivar is_connected: returns whether a controller answers.
@@ -30,7 +30,7 @@
 
 
 def add_gauges(metrics: SidecarMetrics, sources: GaugeSources) -> None:
-    """Add every gauge of a sidecar to its metrics."""
+    """Register the gauges of a sidecar."""
     add = metrics.gauge
     table = sources.table
     slots = sources.slots
--- a/src/cranklane/sidecar/telemetry/metrics.py
+++ b/src/cranklane/sidecar/telemetry/metrics.py
@@ -1,8 +1,7 @@
-"""Counters and histograms of one sidecar, in the Prometheus text format.
+"""Counters and histograms of a sidecar in the Prometheus text format.
 
-A request is counted several times on its way, so counting is a plain addition; the library's
-metric families are made only when somebody asks for the figures. Names, help texts and labels
-are part of the operators' interface.
+Each request updates several metrics, so an update is a plain addition; the library's metric
+families are built at each scrape. Names, help texts and labels are a public interface.
 """
 
 from __future__ import annotations
@@ -20,12 +19,11 @@
 from cranklane.sidecar.request.slot_work import SlotWork
 
 _BUCKET_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
-"""Upper bounds of the histograms' buckets, in seconds. A choice: from well below an objective to
-above most deadlines, about as dense as the library's defaults."""
+"""Upper bounds of the histogram buckets, from below typical objectives to above most deadlines."""
 
 Labels = tuple[str, ...]
 Key = tuple[str | int | Outcome | Reason, ...]
-"""Values of a counter's labels, made into texts only when they are asked for."""
+"""Label values of a counter, converted to text at each scrape."""
 
 
 def _label(value: str | int | Outcome | Reason) -> str:
@@ -34,48 +32,48 @@
 
 @dataclass(slots=True)
 class _Counter:
-    """One counter with its labels' values."""
+    """A counter with one value for each combination of label values."""
 
     name: str
-    text: str
+    help_text: str
     labels: Labels
     values: defaultdict[Key, int] = field(default_factory=lambda: defaultdict(int))
 
     def family(self) -> Any:
-        """Return it as the library's family."""
+        """Return the counter as a metric family of the library."""
         from prometheus_client.core import CounterMetricFamily
 
-        family = CounterMetricFamily(self.name, self.text, labels=self.labels)
+        family = CounterMetricFamily(self.name, self.help_text, labels=self.labels)
         for key, value in self.values.items():
-            family.add_metric([_label(item) for item in key], value)
+            family.add_metric([_label(label_value) for label_value in key], value)
         return family
 
 
 @dataclass(slots=True)
-class _Distribution:
-    """Observations by bucket; the last bucket has no bound."""
+class _Histogram:
+    """A histogram without labels; the last bucket has no upper bound."""
 
     counts: list[int] = field(default_factory=lambda: [0] * (len(_BUCKET_SECONDS) + 1))
     total: float = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count one observation."""
+        """Record an observation."""
         self.counts[bisect_left(_BUCKET_SECONDS, seconds)] += 1
         self.total += seconds
 
     def buckets(self) -> list[tuple[str, float]]:
-        """Return each bound with the observations up to it."""
+        """Return the cumulative count of observations for each upper bound."""
         bounds = [*(str(bound) for bound in _BUCKET_SECONDS), "+Inf"]
-        up_to = 0
-        cumulated = []
+        cumulative_count = 0
+        cumulative = []
         for bound, count in zip(bounds, self.counts, strict=True):
-            up_to += count
-            cumulated.append((bound, float(up_to)))
-        return cumulated
+            cumulative_count += count
+            cumulative.append((bound, float(cumulative_count)))
+        return cumulative
 
 
 class SidecarMetrics:
-    """What one sidecar counts; each process has a registry of its own."""
+    """Metrics of one sidecar, independent of the library's global registry."""
 
     def __init__(self) -> None:
         self._gauges = GaugeRegistry()
@@ -112,11 +110,11 @@
             "Time of workers' slots by service and by the end of the client's request it was for.",
             ("service", "end"),
         )
-        self._request_seconds: defaultdict[str, _Distribution] = defaultdict(_Distribution)
-        self._queue_seconds = _Distribution()
+        self._request_seconds: defaultdict[str, _Histogram] = defaultdict(_Histogram)
+        self._queue_seconds = _Histogram()
 
     def collect(self) -> Iterator[Any]:
-        """Yield every counter and histogram; the registry asks for them."""
+        """Yield every counter and histogram; called by the library's registry."""
         from prometheus_client.core import HistogramMetricFamily
 
         counters = (
@@ -135,8 +133,8 @@
             "Seconds from a request's head to the end of its answer.",
             labels=("service",),
         )
-        for service, seen in sorted(self._request_seconds.items()):
-            requests.add_metric((service,), seen.buckets(), seen.total)
+        for service, histogram in sorted(self._request_seconds.items()):
+            requests.add_metric((service,), histogram.buckets(), histogram.total)
         yield requests
         queue = HistogramMetricFamily(
             "cranklane_queue_seconds",
@@ -145,9 +143,9 @@
         queue.add_metric((), self._queue_seconds.buckets(), self._queue_seconds.total)
         yield queue
 
-    def gauge(self, name: str, text: str, read: Callable[[], float]) -> None:
-        """Add a gauge that is read when it is asked for."""
-        self._gauges.add(name, text, read)
+    def gauge(self, name: str, help_text: str, read: Callable[[], float]) -> None:
+        """Add a gauge that is read at each scrape."""
+        self._gauges.add(name, help_text, read)
 
     def request(self, decision: Decision) -> None:
         """Count a request that has ended."""
@@ -165,11 +163,11 @@
         self._attempts.values[service, outcome, reason] += 1
 
     def ingress_refusal(self, reason: Reason) -> None:
-        """Count a request that was refused before it was sent anywhere."""
+        """Count a request refused by authentication."""
         self._ingress_refusals.values[(reason,)] += 1
 
     def admission(self, reason: Reason, waited: float) -> None:
-        """Count a decision of the gate."""
+        """Count a decision of the gate, and observe the time in the queue."""
         self._admissions.values[(reason,)] += 1
         if waited > 0:
             self._queue_seconds.observe(waited)
@@ -179,9 +177,9 @@
         self._worker_exits.values[("yes" if planned else "no",)] += 1
 
     def lines_left_out(self, count: int) -> None:
-        """Count log lines that were left out."""
+        """Count log lines omitted by the rate limits."""
         self._left_out.values[()] += count
 
     def text(self) -> bytes:
-        """Return everything in the text format."""
+        """Return all metrics in the text format."""
         return self._gauges.text([self])
--- a/src/cranklane/sidecar/telemetry/request_summary.py
+++ b/src/cranklane/sidecar/telemetry/request_summary.py
@@ -1,8 +1,7 @@
-"""Sums up each second's ended requests of clients, and the work that was done for them.
+"""Logs a summary line about once a second: finished client requests and their slot time.
 
-The number of lines for single requests is limited, so they cannot be added up. One line a second
-can: it counts the requests that ended, by route, end and cause, and sums the time that workers
-spent on them by how they ended.
+Lines for single requests are rate-limited and cannot be added up. The summary counts all finished
+requests by route, end and cause, and sums the workers' slot time by service and end.
 """
 
 from __future__ import annotations
@@ -16,32 +15,33 @@
 from cranklane.outcome import Outcome, Reason
 from cranklane.sidecar.request.decision import Decision
 
-LINE_SECONDS = 1.0
-"""Seconds that one line covers. A choice: short enough to show a fault before what follows it."""
+LINE_INTERVAL_SECONDS = 1.0
+"""Interval covered by a line; short enough to separate a fault from its consequences."""
 
 RUN_FAILED = "run_failed"
-"""Cause of a request whose worker answered with an error though no call of it failed."""
+"""Cause of a request whose worker answered with an error although none of its calls failed."""
 
 _FIRST_SERVER_ERROR = HTTPStatus.INTERNAL_SERVER_ERROR.value
 
 
 class End(Enum):
-    """How a request ended for its client."""
+    """How a request ended from the client's point of view."""
 
     IN_TIME = "in_time"
     LATE = "late"
     REFUSED = "refused"
-    """It has not run, and its answer says so."""
+    """The request has not run, and the client got an answer that states it."""
     FAILED = "failed"
-    """It may have run; its answer is an error."""
-    LEFT = "left"
-    """Its client left before it ended."""
+    """The request may have run; the client got an error."""
+    DISCONNECTED = "left"
+    """The client disconnected before the answer."""
 
 
 class Cause(NamedTuple):
     """Why a request was refused or failed.
 
-    :ivar service: where it was refused or failed; empty when it was served.
+    :ivar service: service that refused or failed the request; empty if it was served.
+    :ivar reason: label of the reason; empty if the request was served.
     """
 
     service: str = ""
@@ -51,7 +51,7 @@
 def end_of(decision: Decision) -> End:
     """Return how a request ended."""
     if decision.reason is Reason.CANCELLED or decision.status == 0:
-        return End.LEFT
+        return End.DISCONNECTED
     if decision.outcome is Outcome.NOT_RUN:
         return End.REFUSED
     if decision.outcome is Outcome.UNKNOWN or decision.status >= _FIRST_SERVER_ERROR:
@@ -61,7 +61,7 @@
 
 
 def cause_of(decision: Decision, end: End) -> Cause:
-    """Return why a request was refused or failed, as deep in its tree as is known."""
+    """Return the deepest known cause in the call tree of a refused or failed request."""
     if end not in (End.REFUSED, End.FAILED):
         return Cause()
     if decision.failure is not None:
@@ -74,33 +74,34 @@
 
 
 class RequestSummary:
-    """Sums up the ended requests of clients second by second.
+    """Aggregates finished requests of clients into summary lines.
 
-    :param log: gets one line for each second in which a request ended.
+    :param clock: returns monotonic seconds.
+    :param log: receives one line for each interval in which a request finished.
     """
 
     def __init__(self, clock: Callable[[], float], log: Any) -> None:
         self._clock = clock
         self._log = log
-        self._began_at = clock()
+        self._interval_began_at = clock()
         self._ends: defaultdict[tuple[str, End, Cause], int] = defaultdict(int)
         self._work: defaultdict[tuple[str, End], int] = defaultdict(int)
 
     def add(self, decision: Decision, end: End) -> None:
-        """Add a request of a client that has ended."""
-        if self._clock() - self._began_at >= LINE_SECONDS:
+        """Add a finished request; write the line first if its interval has passed."""
+        if self._clock() - self._interval_began_at >= LINE_INTERVAL_SECONDS:
             self.write()
         self._ends[decision.route, end, cause_of(decision, end)] += 1
         for service, milliseconds in decision.work:
             self._work[service, end] += milliseconds
 
     def write(self) -> None:
-        """Write the line of the seconds since the last one, if anything ended."""
+        """Write the line for the time since the last one, unless no request finished."""
         now = self._clock()
         if self._ends:
             self._log.info(
                 "requests_ended",
-                seconds=round(now - self._began_at, 3),
+                seconds=round(now - self._interval_began_at, 3),
                 ends=[
                     [route, end.value, cause.service, cause.reason, count]
                     for (route, end, cause), count in self._ends.items()
@@ -112,4 +113,4 @@
             )
         self._ends.clear()
         self._work.clear()
-        self._began_at = now
+        self._interval_began_at = now
--- a/tests/test_sidecar_rules.py
+++ b/tests/test_sidecar_rules.py
@@ -298,8 +298,8 @@
             End.FAILED,
             Cause("service", "worker_failed"),
         ),
-        (decision_of(Outcome.UNKNOWN, Reason.CANCELLED, 502), End.LEFT, Cause()),
-        (decision_of(Outcome.ANSWERED, status=0), End.LEFT, Cause()),
+        (decision_of(Outcome.UNKNOWN, Reason.CANCELLED, 502), End.DISCONNECTED, Cause()),
+        (decision_of(Outcome.ANSWERED, status=0), End.DISCONNECTED, Cause()),
     ],
 )
 def test_how_a_request_ended_and_why(decision, end, cause):
