--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "caller"),
+    ("arguments", "caller"),
     [
         ({"table": replace(TABLE, tenants=None)}, Caller("", 1)),
         ({"route": replace(ROUTE, public=True)}, Caller("", 3)),
@@ -55,14 +55,14 @@
         ({"key": b"batch-key"}, Caller("batch", 3, limited=True)),
     ],
 )
-def test_admitted_callers(asked, caller):
+def test_admitted_callers(arguments, caller):
     ingress = Ingress()
-    assert ingress.identify(**asked).ok_value == caller
+    assert ingress.identify(**arguments).ok_value == caller
     assert ingress.refusals == []
 
 
 @pytest.mark.parametrize(
-    ("confirmed", "asked", "reason", "retry_after_ms"),
+    ("confirmed", "arguments", "reason", "retry_after_ms"),
     [
         (True, {"request": "id"}, Reason.UNAUTHENTICATED, 0),
         (True, {"request": "id.1"}, Reason.CALL_UNTIED, 500),
@@ -71,18 +71,18 @@
         (False, {"key": b"unknown"}, Reason.TABLE_STALE, 500),
     ],
 )
-def test_refused_callers(confirmed, asked, reason, retry_after_ms):
+def test_refused_callers(confirmed, arguments, reason, retry_after_ms):
     ingress = Ingress(confirmed)
-    refused = ingress.identify(**asked)
+    refused = ingress.identify(**arguments)
     assert isinstance(refused, Err)
     assert refused.err_value.reason is reason
     assert refused.err_value.retry_after_ms == retry_after_ms
     assert [refusal.reason for refusal in ingress.refusals] == [reason]
 
 
-@pytest.mark.parametrize("asked", [{"table": replace(TABLE, tenants=None)}, {"run": RUN}])
-def test_a_request_without_a_key_is_admitted_without_a_table_lease(asked):
-    assert isinstance(Ingress(confirmed=False).identify(**asked).ok_value, Caller)
+@pytest.mark.parametrize("arguments", [{"table": replace(TABLE, tenants=None)}, {"run": RUN}])
+def test_a_request_without_a_key_is_admitted_without_a_table_lease(arguments):
+    assert isinstance(Ingress(confirmed=False).identify(**arguments).ok_value, Caller)
 
 
 def test_a_tenant_over_its_rate_is_refused_and_requests_not_run_are_refunded():
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -1,8 +1,4 @@
-"""Each promise of sidecars and controllers breaks without the mechanism it rests on.
-
-Every entry switches one mechanism off and runs the test that provokes the failure,
-which must then fail.
-"""
+"""Disables one mechanism at a time and checks that the test that covers it fails."""
 
 from __future__ import annotations
 
@@ -49,11 +45,11 @@
     return connection.reader.next_head(request.bodiless)
 
 
-def retries_after_unknown(self, progress, reply):
+def retry_after_unknown(self, progress, reply):
     return reply.outcome is Outcome.UNKNOWN and progress.attempts < 2
 
 
-def retries_within_a_retried_run(self, progress, reply):
+def retry_within_a_retried_run(self, progress, reply):
     root = replace(progress.call.root, is_retry=False)
     progress.call = progress.call._replace(root=root)
     return Dispatcher_should_retry(self, progress, reply)
@@ -62,7 +58,7 @@
 Dispatcher_should_retry = Dispatcher._should_retry
 
 
-def no_end(self, instance, state):
+def ignore_draining(self, instance, state):
     pass
 
 
@@ -70,7 +66,7 @@
     return route.shares[0].service
 
 
-def heard_any_leader(self):
+def accept_any_leader(self):
     self._leased_heartbeat_at = self._state.runtime.monotonic()
     Election_restart_timer(self)
 
@@ -78,25 +74,25 @@
 Election_restart_timer = Election.restart_timer
 
 MECHANISMS = {
-    "request id of an answer": (
+    "match of answers by request id": (
         WorkerExchange,
         "_matching_answer",
         first_answer,
         test_mesh.test_surplus_and_late_answers_never_reach_another_caller,
     ),
-    "memory of an unknown outcome": (
+    "no retry after an unknown outcome": (
         Dispatcher,
         "_should_retry",
-        retries_after_unknown,
+        retry_after_unknown,
         lambda: test_mesh.test_an_unrepeatable_request_is_never_sent_twice_nor_called_not_run(
             "lose_answers"
         ),
     ),
-    "drain fence": (
+    "no requests to draining workers": (
         WorkerRegistry,
         "_mark_leaving",
-        no_end,
-        test_mesh_workers.test_a_draining_worker_gets_nothing_once_that_is_acknowledged,
+        ignore_draining,
+        test_mesh_workers.test_a_draining_worker_gets_no_requests_after_the_acknowledgement,
     ),
     "retry budget": (
         RetryBudget,
@@ -118,23 +114,23 @@
         ),
         test_mesh_overload.test_requests_whose_runs_fail_are_refused_early_the_least_important_first,
     ),
-    "waiting for requests in flight at a stop": (
+    "wait for requests in flight at a stop": (
         Sidecar,
         "_is_busy",
         lambda self: False,
         test_mesh.test_a_planned_stop_cuts_nothing_and_is_out_of_use_at_once,
     ),
     "splitter": (Splitter, "choose", first_share, test_mesh.test_a_split_keeps_its_shares),
-    "digests of taken tables": (
+    "digests of accepted tables": (
         RouteTableStore,
         "was_taken",
         lambda self, digest: False,
         test_controllers.test_an_equal_request_is_answered_alike_for_good_and_another_is_a_conflict,
     ),
-    "word of a certain leader": (
+    "heartbeats of leaders with a lease only": (
         Election,
         "restart_timer",
-        heard_any_leader,
+        accept_any_leader,
         lambda: (
             test_controllers.test_sidecars_leave_a_cut_off_leader_and_its_follower_and_keep_their_members(
                 1
@@ -147,25 +143,25 @@
         lambda self, least, seconds: False,
         test_controllers.test_machines_gone_for_good_are_replaced_within_seconds,
     ),
-    "root of a call": (
+    "correlation of calls with their root": (
         CallTree,
         "run_of",
         lambda self, request: None,
         test_call_tree.test_the_call_for_the_more_important_request_goes_first,
     ),
-    "rows that changed": (
+    "deltas of changed rows": (
         RowChanges,
         "since",
         lambda self, revision: None,
         test_route_rows.test_a_change_of_one_route_costs_a_node_a_few_hundred_bytes,
     ),
-    "own answers as a sign of life": (
+    "answers as confirmation of a destination": (
         Destination,
         "is_expired",
         lambda self, now: self.confirmed_at is not None,
-        test_mesh_workers.test_a_machine_that_only_control_cannot_reach_is_used_on,
+        test_mesh_workers.test_a_machine_that_only_control_cannot_reach_stays_in_use,
     ),
-    "look for a lost leader": (
+    "detection of a leader that lost its disk": (
         Election,
         "_has_lost_its_disk",
         lambda self, identity: False,
@@ -175,64 +171,64 @@
             )
         ),
     ),
-    "judgements that are told to control": (
+    "reports of conditions to control": (
         WorkerCondition,
         "renew",
         lambda self: False,
         test_worker_condition.test_every_sidecar_knows_of_a_failing_worker_within_two_seconds,
     ),
-    "judgements that fade": (
+    "decay of reported conditions": (
         Condition,
         "decayed",
         lambda self, age: self,
-        test_worker_condition.test_what_control_has_told_fades_and_is_not_taken_twice,
+        test_worker_condition.test_a_condition_from_control_decays_and_is_not_applied_twice,
     ),
-    "tokens that lapse": (
+    "expiry of retry tokens": (
         RetryBudget,
         "_expire",
         lambda self, account, now: None,
         test_retry_budget.test_tokens_of_a_quiet_hour_are_not_spent_at_once,
     ),
-    "subsets that stay": (
+    "stable subsets": (
         WorkerChoice,
         "_subset_of",
         lambda self, service: self._random.sample(self._destinations.members(service), 16),
         test_subsets.test_a_caller_with_little_to_do_meets_few_workers,
     ),
-    "subsets that are widened": (
+    "widening of subsets": (
         worker_choice,
         "is_at_ease",
-        lambda item, now: True,
+        lambda destination, now: True,
         lambda: test_subsets.test_a_subset_in_trouble_is_widened("loaded"),
     ),
-    "frames made once": (
+    "frames shared between subscribers": (
         NewestFrames,
         "get",
         lambda self, span, make: make(),
         test_publisher_frames.test_frames_of_an_older_state_are_made_anew,
     ),
-    "comparison of times": (
+    "condition factor": (
         cost,
         "condition_factor",
         lambda destination, now: 1.0,
-        lambda: test_mesh_workers.test_a_worker_much_worse_than_others_gets_little("slow", 15),
+        lambda: test_mesh_workers.test_a_slow_or_failing_worker_gets_few_requests("slow", 15),
     ),
     "fault ratio": (
         FaultRatio,
         "sample",
         lambda self, now, failed: None,
-        lambda: test_mesh_workers.test_a_worker_much_worse_than_others_gets_little("failing", 60),
+        lambda: test_mesh_workers.test_a_slow_or_failing_worker_gets_few_requests("failing", 60),
     ),
-    "question to the worker": (
+    "probe of the worker": (
         WorkerProbe,
         "find",
         lambda self, path: None,
         test_mesh_workers.test_a_restarted_sidecar_serves_its_worker_before_the_next_heartbeat,
     ),
-    "no repeat below a repeated run": (
+    "no retry below a retried run": (
         Dispatcher,
         "_should_retry",
-        retries_within_a_retried_run,
+        retry_within_a_retried_run,
         test_call_tree.test_what_a_repeated_run_calls_is_not_repeated_again,
     ),
     "early vote for the former leader": (
--- a/tests/test_mesh_workers.py
+++ b/tests/test_mesh_workers.py
@@ -1,4 +1,4 @@
-"""Which workers get requests: those that leave, are lost, return, or are worse than others."""
+"""Routing of requests around workers that drain, are lost, restart, or are slow or failing."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from mesh_support import play, runs
 
 
-def test_a_worker_that_refuses_is_passed_over():
+def test_a_refused_request_is_retried_at_another_worker():
     def script(mesh):
         mesh.machines[0].worker.state.refuse = 50
         answers = [mesh.request(mesh.machines[2], "/sign/x", "POST", b"b") for _ in range(3)]
@@ -18,15 +18,15 @@
     assert play(script) == [200, 200, 200]
 
 
-def test_a_draining_worker_gets_nothing_once_that_is_acknowledged():
+def test_a_draining_worker_gets_no_requests_after_the_acknowledgement():
     def script(mesh):
         leaving = mesh.machines[0]
         assert leaving.worker.drain() == 200
         before = leaving.worker.state.arrivals
         answers = [mesh.request(mesh.machines[2], "/sign/x", "POST", b"b") for _ in range(8)]
-        late = leaving.worker
-        late.phase, late._sequence = "ready", 0
-        late.beat()
+        worker = leaving.worker
+        worker.phase, worker._sequence = "ready", 0
+        worker.beat()
         answers += [mesh.request(mesh.machines[0], "/sign/x", "POST", b"b") for _ in range(8)]
         return leaving.worker.state.arrivals - before, {answer.status for answer in answers}
 
@@ -53,7 +53,7 @@
     assert play(script) == (200, 4, 1)
 
 
-def test_a_restarted_sidecar_leaves_a_leaving_worker_alone():
+def test_a_restarted_sidecar_sends_nothing_to_a_draining_worker():
     def script(mesh):
         machine = mesh.machines[2]
         assert machine.worker.drain() == 200
@@ -80,18 +80,18 @@
     assert play(script) == (503, 200, b"i-new")
 
 
-def test_a_worker_that_says_nothing_any_more_gets_nothing():
+def test_a_silent_worker_gets_no_requests():
     def script(mesh):
         mesh.machines[0].worker_process.kill(power_lost=True)
         gevent.sleep(8.0)
-        begun = mesh.world.loop.now()
+        started_at = mesh.world.loop.now()
         answers = [mesh.request(mesh.machines[2], "/sign/x", "POST", b"b") for _ in range(6)]
-        return {answer.status for answer in answers}, mesh.world.loop.now() - begun < 1.0
+        return {answer.status for answer in answers}, mesh.world.loop.now() - started_at < 1.0
 
     assert play(script) == ({200}, True)
 
 
-def test_a_machine_that_is_cut_off_holds_up_one_request_only():
+def test_a_partitioned_machine_delays_only_one_request():
     def script(mesh):
         for machine in mesh.machines[1:]:
             mesh.world.network.cut(mesh.machines[0].name, machine.name)
@@ -99,9 +99,9 @@
         mesh.machines[2].sidecar.peers.forget((mesh.machines[0].host, 7000))
         slow = 0
         for _ in range(60):
-            begun = mesh.world.loop.now()
+            started_at = mesh.world.loop.now()
             assert mesh.request(mesh.machines[2], "/sign/x", "POST", b"b").status == 200
-            slow += mesh.world.loop.now() - begun > 0.3
+            slow += mesh.world.loop.now() - started_at > 0.3
             gevent.sleep(0.1)
         for machine in mesh.machines[1:]:
             mesh.world.network.heal(mesh.machines[0].name, machine.name)
@@ -121,7 +121,7 @@
         mesh.world.network.cut(controller.process.name, machine.process.name)
 
 
-def test_a_machine_that_only_control_cannot_reach_is_used_on():
+def test_a_machine_that_only_control_cannot_reach_stays_in_use():
     def script(mesh):
         cut_from_controllers(mesh, mesh.machines[2])
         statuses = []
@@ -133,36 +133,36 @@
     assert play(script) == [200] * 60
 
 
-def test_a_machine_that_nobody_reaches_any_more_is_forgotten():
+def test_an_unreachable_machine_is_removed():
     def script(mesh):
         mesh.machines[2].process.kill(power_lost=True)
         mesh.request(mesh.machines[0], "/other/x")
-        known = mesh.machines[0].sidecar.destinations
-        before = known.count("t")
+        destinations = mesh.machines[0].sidecar.destinations
+        before = destinations.count("t")
         gevent.sleep(30.0)
-        return before, known.count("t")
+        return before, destinations.count("t")
 
     assert play(script) == (1, 0)
 
 
-@pytest.mark.parametrize(("fault", "most"), [("slow", 15), ("failing", 60)])
-def test_a_worker_much_worse_than_others_gets_little(fault, most):
+@pytest.mark.parametrize(("fault", "max_runs"), [("slow", 15), ("failing", 60)])
+def test_a_slow_or_failing_worker_gets_few_requests(fault, max_runs):
     def script(mesh):
-        worse = mesh.machines[0].worker.state
+        slow_or_failing = mesh.machines[0].worker.state
         if fault == "slow":
-            worse.seconds = 0.4
+            slow_or_failing.seconds = 0.4
         else:
-            worse.fail = 10_000
+            slow_or_failing.fail = 10_000
         for number in range(300):
             gevent.spawn(mesh.request, mesh.machines[0], "/sign/x", "POST", b"b", name=f"n{number}")
             gevent.sleep(0.02)
         gevent.sleep(2.0)
-        return len(worse.runs) < most, len(mesh.machines[1].worker.state.runs) > 200
+        return len(slow_or_failing.runs) < max_runs, len(mesh.machines[1].worker.state.runs) > 200
 
     assert play(script, slots=40) == (True, True)
 
 
-def test_a_worker_that_refuses_without_reason_gets_little():
+def test_a_worker_that_refuses_with_free_slots_gets_few_requests():
     def script(mesh):
         mesh.machines[0].worker.state.refuse = 10_000
         for number in range(300):
@@ -174,22 +174,22 @@
     assert play(script, slots=40) < 60
 
 
-def test_a_request_waits_a_moment_for_the_first_worker_of_its_service():
+def test_a_request_waits_briefly_for_the_first_worker_of_its_service():
     def script(mesh):
         machine = mesh.machines[0]
-        known = machine.sidecar.destinations
-        known._remove(mesh.machines[2].name)
-        asked = gevent.spawn(mesh.request, machine, "/other/x")
+        destinations = machine.sidecar.destinations
+        destinations._remove(mesh.machines[2].name)
+        pending_request = gevent.spawn(mesh.request, machine, "/other/x")
         gevent.sleep(0.1)
         mesh.machines[2].sidecar.control.subscription._records.close()
-        begun = mesh.world.loop.now()
-        status = asked.get().status
-        return status, mesh.world.loop.now() - begun < 0.2
+        started_at = mesh.world.loop.now()
+        status = pending_request.get().status
+        return status, mesh.world.loop.now() - started_at < 0.2
 
     assert play(script) == (200, True)
 
 
-def test_leaving_workers_that_are_asked_first_do_not_use_up_the_tries():
+def test_attempts_at_draining_workers_do_not_use_up_the_retries():
     def script(mesh):
         for machine in mesh.machines[:5]:
             assert machine.worker.drain() == 200
--- a/tests/test_sidecar_metrics.py
+++ b/tests/test_sidecar_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of a sidecar in the text format."""
+"""Metrics of a sidecar in the Prometheus text format."""
 
 from types import SimpleNamespace
 
@@ -6,7 +6,7 @@
 from cranklane.sidecar.telemetry.metrics import SidecarMetrics
 
 
-def test_counters_and_histograms_are_told_as_they_were_counted():
+def test_counters_and_histograms_appear_in_the_text_format():
     metrics = SidecarMetrics()
     metrics.gauge("cranklane_running", "Requests now.", lambda: 3)
     for seconds in (0.004, 0.3, 20.0):
--- a/tests/test_sidecar_rules.py
+++ b/tests/test_sidecar_rules.py
@@ -1,4 +1,4 @@
-"""The rules of a sidecar's parts, each by its table."""
+"""Decision rules of a sidecar: worker state, ingress, planned stop and results of requests."""
 
 from __future__ import annotations
 
@@ -32,8 +32,6 @@
 from cranklane.sidecar.worker.registry import WorkerState, is_lost, usable_slots, was_suspended
 from cranklane.sidecar.worker.slowness import ExpectedLatencies, Slowness
 
-# The worker.
-
 
 @pytest.mark.parametrize(
     ("reported", "age", "current", "expected"),
@@ -42,16 +40,16 @@
         (WELL, 1.0, Condition(0.14, 1.0), False),
         (WELL, 1.0, Condition(0.0, 3.1), True),
         (WELL, 1.0, Condition(0.0, 2.9), False),
-        # Callers believe about the same by themselves, as what was reported decays.
+        # The decayed report is close to the current condition.
         (Condition(0.8, 1.0), 3.0, Condition(0.4, 1.0), False),
         (Condition(0.8, 1.0), 3.0, Condition(0.8, 1.0), True),
-        # A recovery is reported once it is certain on both sides.
+        # A recovery is reported once the decayed report counts as healthy as well.
         (Condition(0.2, 1.0), 3.0, WELL, False),
         (Condition(0.2, 1.0), 7.0, WELL, True),
         (WELL, 7.0, WELL, False),
     ],
 )
-def test_a_condition_is_reported_when_callers_believe_something_else(
+def test_a_condition_is_reported_when_it_differs_from_the_decayed_report(
     reported, age, current, expected
 ):
     assert should_report(reported, age, current) is expected
@@ -67,7 +65,7 @@
     assert ratio.at(10.0) == pytest.approx(0.9, abs=0.01)
 
 
-def test_a_slow_worker_counts_as_slow_until_it_was_idle_for_a_while():
+def test_slowness_is_capped_and_decays():
     slowness = Slowness()
     for _ in range(50):
         slowness.sample(10.0, 100.0)
@@ -75,7 +73,7 @@
     assert slowness.at(16.0) == pytest.approx(8.5, abs=0.1)
 
 
-def test_one_slow_run_hardly_raises_what_is_expected():
+def test_the_expected_latency_rises_more_slowly_than_it_falls():
     latencies = ExpectedLatencies()
     latencies.ratio("r", 0.1)
     latencies.ratio("r", 1.1)
@@ -101,7 +99,7 @@
 
 
 @pytest.mark.parametrize(("seconds", "suspended"), [(1.5, False), (3.0, False), (3.1, True)])
-def test_a_late_check_means_that_the_machine_stood_still(seconds, suspended):
+def test_a_late_check_means_that_the_machine_was_suspended(seconds, suspended):
     assert was_suspended(seconds, heartbeat_seconds=1.5) is suspended
 
 
@@ -110,7 +108,7 @@
     assert usable_slots(slots) == usable
 
 
-def test_a_start_that_was_forgotten_comes_as_a_new_one():
+def test_a_forgotten_instance_counts_as_new():
     history = InstanceHistory()
     assert history.advance("a", 5)
     assert history.advance("b", 1)
@@ -121,7 +119,7 @@
     assert not history.is_older("a", "b")
 
 
-def test_a_start_that_left_is_remembered_among_64():
+def test_the_last_64_ended_instances_are_remembered():
     history = InstanceHistory()
     history.end("gone")
     for number in range(63):
@@ -132,7 +130,7 @@
 
 
 @pytest.mark.parametrize(
-    ("rested", "always_check", "closed", "reused"),
+    ("idle_seconds", "always_check", "closed", "reused"),
     [
         (0.2, False, True, True),
         (0.2, True, True, False),
@@ -142,8 +140,8 @@
         (4.1, False, False, False),
     ],
 )
-def test_a_kept_connection_is_used_again_unless_it_may_be_closed(
-    rested, always_check, closed, reused
+def test_an_idle_connection_is_reused_unless_it_may_be_closed(
+    idle_seconds, always_check, closed, reused
 ):
     now = [100.0]
     runtime = SimpleNamespace(
@@ -152,17 +150,14 @@
         connect=lambda address, seconds: SimpleNamespace(close=lambda: None),
     )
     pool = WorkerPool(runtime, ("worker", 1))
-    kept = pool.take(always_check=False)
-    pool.give_back(kept)
-    now[0] += rested
-    assert (pool.take(always_check) is kept) is reused
-
+    connection = pool.take(always_check=False)
+    pool.give_back(connection)
+    now[0] += idle_seconds
+    assert (pool.take(always_check) is connection) is reused
 
-# The ingress.
 
-
-def connection_that(**fields):
-    """Return a caller's connection of which one step fails as stated, or nothing does."""
+def fake_connection(**fields):
+    """Return a fake caller connection whose named steps raise the given errors."""
 
     def step(name):
         def act(*_arguments):
@@ -191,13 +186,13 @@
 )
 def test_a_head_that_cannot_be_read_is_answered(error, started, status):
     with pytest.raises(UnreadableRequestError) as raised:
-        read_head(connection_that(head=error, started=started), Limits())
+        read_head(fake_connection(head=error, started=started), Limits())
     assert raised.value.status == status
 
 
 @pytest.mark.parametrize("error", [TimeoutError(), MessageCutError(), None])
 def test_a_caller_that_sent_no_request_gets_no_answer(error):
-    assert read_head(connection_that(head=error), Limits()) is None
+    assert read_head(fake_connection(head=error), Limits()) is None
 
 
 def head_of(framing=Framing.LENGTH, length=0, **headers):
@@ -214,15 +209,15 @@
         (MessageCutError(), None),
     ],
 )
-def test_a_body_that_cannot_be_read_is_answered_while_its_caller_is_there(error, status):
+def test_a_body_that_cannot_be_read_is_answered_unless_its_caller_disconnected(error, status):
     with pytest.raises(UnreadableRequestError) as raised:
-        read_body(connection_that(body=error), head_of(), Limits())
+        read_body(fake_connection(body=error), head_of(), Limits())
     assert raised.value.status == status
 
 
-def test_a_body_that_is_announced_as_too_large_is_not_asked_for():
+def test_no_continue_is_sent_for_a_body_announced_as_too_large():
     sent = []
-    connection = connection_that(send=sent.append)
+    connection = fake_connection(send=sent.append)
     expecting = {"Expect": b"100-Continue"}
     allowed = Limits().max_body_bytes
     read_body(connection, head_of(length=allowed, **expecting), Limits())
@@ -233,9 +228,6 @@
     assert len(sent) == 1
 
 
-# A planned stop.
-
-
 @pytest.mark.parametrize(
     ("stop_seconds", "times"),
     [
@@ -249,9 +241,6 @@
     assert stop_times(100.0, stop_seconds) == times
 
 
-# What became of a request.
-
-
 def decision_of(outcome, reason=Reason.NONE, status=200, seconds=0.1, failure=None):
     return Decision(
         "id",
@@ -302,6 +291,6 @@
         (decision_of(Outcome.ANSWERED, status=0), End.DISCONNECTED, Cause()),
     ],
 )
-def test_how_a_request_ended_and_why(decision, end, cause):
+def test_end_and_cause_of_requests(decision, end, cause):
     assert end_of(decision) is end
     assert cause_of(decision, end) == cause
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,6 +1,6 @@
-"""Machines that are suspended for seconds: what lapses meanwhile has lapsed when they wake up.
+"""Leases, deadlines and ages keep expiring while a machine is suspended.
 
-Each test breaks its promise with a steady clock that stands still during a suspension.
+Control tests with a clock that stops during a suspension show that each fault would be detected.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from cranklane_lab.simulation.process import SimulatedProcess
 from mesh_support import play, runs
 
-AWAY_SECONDS = 8.0
+SUSPENSION_SECONDS = 8.0
 
 
 @pytest.fixture
-def clock_stands_still(monkeypatch):
-    """Give processes the kernel's usual steady clock."""
+def clock_stops_during_suspension(monkeypatch):
+    """Give processes a clock that stops during a suspension, as CLOCK_MONOTONIC does."""
     monkeypatch.setattr(SimulatedProcess, "counts_suspension", False)
 
 
-def suspend(machine, seconds=AWAY_SECONDS):
+def suspend(machine, seconds=SUSPENSION_SECONDS):
     """Suspend a machine with its sidecar and its worker."""
     machine.process.suspend(seconds)
     machine.worker_process.suspend(seconds)
@@ -40,49 +40,51 @@
     assert RealRuntime().monotonic() == 1234.5
 
 
-def test_timers_of_a_suspended_machine_stand_still_and_what_it_gets_does_not():
+def test_timers_of_a_suspended_machine_stop_but_its_clock_does_not():
     def script(mesh):
         process = mesh.machines[0].process
-        begun = mesh.world.loop.now()
+        started_at = mesh.world.loop.now()
         woken = []
 
         def sleep():
             gevent.sleep(3.0)
-            woken.append(mesh.world.loop.now() - begun)
+            woken.append(mesh.world.loop.now() - started_at)
 
         process.spawn(sleep)
         gevent.sleep(1.0)
         process.suspend(5.0)
         gevent.sleep(9.0)
-        return woken, process.monotonic() - begun
+        return woken, process.monotonic() - started_at
 
-    woken, passed = play(script)
+    woken, elapsed = play(script)
     assert woken == [pytest.approx(8.0)]
-    assert passed == pytest.approx(10.0)
+    assert elapsed == pytest.approx(10.0)
 
 
-# A leader's lease.
+# Lease of a leader.
 
 
-def suspended_leader_believes(run):
-    old = test_replication.leader_number(run)
+def suspended_leader_has_lease(run):
+    former_leader = test_replication.leader_number(run)
     wakes_at = run.world.loop.now() + 20.0
-    run.fleet.control_processes[old].suspend(20.0)
+    run.fleet.control_processes[former_leader].suspend(20.0)
     gevent.sleep(10.0)
     test_replication.edit(run, 1, 1)
     gevent.sleep(wakes_at - run.world.loop.now())
-    return test_replication.replica(run, old).may_read
+    return test_replication.replica(run, former_leader).may_read
 
 
-def test_a_leader_that_was_suspended_leads_no_more():
-    assert test_replication.play(suspended_leader_believes) is False
+def test_a_suspended_leader_loses_its_lease():
+    assert test_replication.play(suspended_leader_has_lease) is False
 
 
-def test_with_a_clock_that_stands_still_it_would(clock_stands_still):
-    assert test_replication.play(suspended_leader_believes) is True
+def test_with_a_stopped_clock_a_suspended_leader_would_keep_its_lease(
+    clock_stops_during_suspension,
+):
+    assert test_replication.play(suspended_leader_has_lease) is True
 
 
-# The freshness of the route table, which keeps revoked keys from running.
+# Lease on the route table, which enforces the revocation of keys.
 
 
 def revoked_while_suspended(mesh):
@@ -90,79 +92,79 @@
     test_tenants.cut_off(mesh, machine)
     suspend(machine)
     test_tenants.take_shop_away(mesh)
-    gevent.sleep(AWAY_SECONDS)
+    gevent.sleep(SUSPENSION_SECONDS)
     ran = len(runs(mesh))
     status = test_tenants.ask(mesh, "key-of-shop", path="/look/x").status
     return status, len(runs(mesh)) - ran
 
 
-def test_a_key_taken_away_does_not_run_at_a_machine_that_was_suspended():
+def test_a_revoked_key_is_rejected_after_a_suspension():
     status, ran = test_tenants.play(revoked_while_suspended)
     assert (status in (401, 503), ran) == (True, 0)
 
 
-def test_with_a_clock_that_stands_still_it_would_run(clock_stands_still):
+def test_with_a_stopped_clock_a_revoked_key_would_be_accepted(clock_stops_during_suspension):
     assert test_tenants.play(revoked_while_suspended) == (200, 1)
 
 
-# What a controller confirms of its table.
+# Confirmation of the route table by a controller.
 
 
 def confirmed_age(mesh):
-    follower = next(item for item in mesh.controllers if item is not mesh.leader())
-    follower.process.suspend(AWAY_SECONDS)
-    gevent.sleep(AWAY_SECONDS)
+    follower = next(candidate for candidate in mesh.controllers if candidate is not mesh.leader())
+    follower.process.suspend(SUSPENSION_SECONDS)
+    gevent.sleep(SUSPENSION_SECONDS)
     age = follower.controller._confirmation.age()
-    return age is None or age >= AWAY_SECONDS - confirmation.ASK_SECONDS
+    return age is None or age >= SUSPENSION_SECONDS - confirmation.ASK_SECONDS
 
 
-def test_a_controller_that_was_suspended_confirms_nothing_as_new():
+def test_a_suspended_controller_does_not_confirm_an_old_table():
     assert play(confirmed_age)
 
 
-def test_with_a_clock_that_stands_still_it_would_confirm(clock_stands_still):
+def test_with_a_stopped_clock_it_would_confirm_an_old_table(clock_stops_during_suspension):
     assert not play(confirmed_age)
 
 
-# Shares of a tenant's limit.
+# Shares of a tenant's quota.
 
 
-def follows_old_shares(mesh):
+def uses_expired_shares(mesh):
     machine = mesh.machines[2]
     suspend(machine)
-    gevent.sleep(AWAY_SECONDS)
+    gevent.sleep(SUSPENSION_SECONDS)
     quota = machine.sidecar.quota
     return quota._clock() - quota._updated_at <= UPDATE_SECONDS
 
 
-def test_a_sidecar_that_was_suspended_does_not_follow_old_shares():
-    assert not play(follows_old_shares)
+def test_a_suspended_sidecar_does_not_use_expired_shares():
+    assert not play(uses_expired_shares)
 
 
-def test_with_a_clock_that_stands_still_it_would_follow_them(clock_stands_still):
-    assert play(follows_old_shares)
+def test_with_a_stopped_clock_it_would_use_expired_shares(clock_stops_during_suspension):
+    assert play(uses_expired_shares)
 
 
-# The ledger's lease on a run.
+# Lease of the ledger on a run.
 
 
 def late_runs(run):
     return test_ledger.late_runs(run, SimulatedProcess.suspend)
 
 
-def test_a_node_that_was_suspended_does_not_run_after_its_lease():
+def test_a_suspended_node_does_not_run_after_its_lease():
     assert test_ledger.play(late_runs) == []
 
 
-def test_with_a_clock_that_stands_still_it_would_run_late(clock_stands_still):
+def test_with_a_stopped_clock_it_would_run_after_its_lease(clock_stops_during_suspension):
     assert test_ledger.play(late_runs)
 
 
-# The deadline of a request that waits.
+# Deadline of a queued request.
 
 
-def runs_begun(mesh):
-    """Suspend a machine while half of eight requests wait for a slot; return what has run."""
+def runs_after_suspension(mesh):
+    """Suspend a machine while four of eight requests wait for a slot; return the number of runs."""
     machine = mesh.machines[2]
     machine.worker.state.seconds = 0.25
     tasks = [gevent.spawn(mesh.request, machine, f"/other/{n}") for n in range(8)]
@@ -173,26 +175,26 @@
     return len(runs(mesh))
 
 
-def test_a_request_that_waited_during_a_suspension_does_not_start_after_its_deadline():
-    assert play(runs_begun) == 4
+def test_a_request_queued_during_a_suspension_does_not_start_after_its_deadline():
+    assert play(runs_after_suspension) == 4
 
 
-def test_with_a_clock_that_stands_still_it_would_start(clock_stands_still):
-    assert play(runs_begun) == 8
+def test_with_a_stopped_clock_it_would_start_after_its_deadline(clock_stops_during_suspension):
+    assert play(runs_after_suspension) == 8
 
 
-# What a machine says of its own worker.
+# Heartbeats of the worker.
 
 
 @pytest.mark.parametrize("phase", [0.0, 0.75])
-def test_a_worker_that_was_suspended_with_its_sidecar_is_not_taken_for_lost(phase):
+def test_a_worker_suspended_with_its_sidecar_does_not_count_as_lost(phase):
     def script(mesh):
         machine = mesh.add_machine("t", beats=False)
         gevent.sleep(phase)
         machine.worker_process.spawn(machine.worker.beat_on)
         gevent.sleep(3.0 - phase)
         suspend(machine)
-        gevent.sleep(AWAY_SECONDS + 0.05)
+        gevent.sleep(SUSPENSION_SECONDS + 0.05)
         statuses = set()
         for _ in range(30):
             statuses.add(mesh.request(machine, "/other/x").status)
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -1,4 +1,4 @@
-"""What all callers know of a worker through its own sidecar."""
+"""Reports of a worker's condition, and their effect on the choice of workers."""
 
 from __future__ import annotations
 
@@ -34,10 +34,10 @@
         return self.now
 
 
-def condition_with_news():
+def condition_with_reports():
     clock = Clock()
-    news = []
-    return clock, news, WorkerCondition(clock, news.append)
+    reports = []
+    return clock, reports, WorkerCondition(clock, reports.append)
 
 
 @pytest.mark.parametrize("shape", [LARGE, SMALL], ids=["large", "small"])
@@ -45,56 +45,56 @@
     assert Trial(shape, 1).play().sick_share < 0.036
 
 
-def test_without_the_word_of_their_own_sidecars_slow_workers_get_more():
-    told = Trial(LARGE, 1).play().sick_share
-    assert Trial(replace(LARGE, told=False), 1).play().sick_share > 2 * told
+def test_without_reports_slow_workers_get_more_requests():
+    reported_share = Trial(LARGE, 1).play().sick_share
+    assert Trial(replace(LARGE, told=False), 1).play().sick_share > 2 * reported_share
 
 
 def test_few_requests_go_to_workers_that_fail():
-    told = Trial(FAILING, 1).play()
-    untold = Trial(replace(FAILING, told=False), 1).play()
-    assert told.sick_share < 0.02
-    assert untold.sick_share > 0.1
+    with_reports = Trial(FAILING, 1).play()
+    without_reports = Trial(replace(FAILING, told=False), 1).play()
+    assert with_reports.sick_share < 0.02
+    assert without_reports.sick_share > 0.1
 
 
-def test_a_service_that_is_well_costs_next_to_no_messages():
+def test_a_healthy_service_causes_almost_no_reports():
     outcome = Trial(replace(LARGE, sick_part=0.0), 1).play()
     assert outcome.told < 0.01 * len(outcome.seconds)
 
 
-def test_a_service_half_of_which_is_sick_refuses_nothing():
+def test_a_service_with_half_of_its_workers_slow_refuses_nothing():
     half = replace(LARGE, sick_part=0.5, load=0.3, seconds=6.0)
-    told = Trial(half, 1).play()
-    untold = Trial(replace(half, told=False), 1).play()
-    assert told.refused == 0
-    assert told.sick_share < 0.75 * untold.sick_share
-    assert told.quantile(0.9) < untold.quantile(0.9)
+    with_reports = Trial(half, 1).play()
+    without_reports = Trial(replace(half, told=False), 1).play()
+    assert with_reports.refused == 0
+    assert with_reports.sick_share < 0.75 * without_reports.sick_share
+    assert with_reports.quantile(0.9) < without_reports.quantile(0.9)
 
 
-def test_callers_are_told_once_of_a_worker_that_turns_slow_and_once_that_it_is_well():
-    clock, news, condition = condition_with_news()
+def test_few_reports_are_sent_when_a_worker_turns_slow_and_recovers():
+    clock, reports, condition = condition_with_reports()
     for _ in range(20):
         clock.now += 0.5
         condition.run_ended(False, 6.0)
-    slow = len(news)
+    slow = len(reports)
     for _ in range(60):
         clock.now += 0.5
         condition.run_ended(False, 1.0)
     assert 1 <= slow <= 4
-    assert news[-1] is WELL
-    assert len(news) <= slow + 5
+    assert reports[-1] is WELL
+    assert len(reports) <= slow + 5
 
 
-def test_judgements_are_told_no_faster_than_the_stated_rate():
-    clock, news, condition = condition_with_news()
+def test_reports_respect_the_minimum_interval():
+    clock, reports, condition = condition_with_reports()
     for number in range(4000):
         clock.now += 0.001
         condition.run_ended(number % 400 < 200, 1.0)
-    assert 2 <= len(news) <= 4.0 / MIN_REPORT_INTERVAL_SECONDS
+    assert 2 <= len(reports) <= 4.0 / MIN_REPORT_INTERVAL_SECONDS
 
 
-def test_a_worker_that_gets_nothing_any_more_is_told_to_be_well_in_time():
-    clock, _, condition = condition_with_news()
+def test_a_worker_without_requests_is_reported_healthy_in_time():
+    clock, _, condition = condition_with_reports()
     clock.now += 1.0
     for _ in range(10):
         condition.run_ended(True, 8.0)
@@ -127,35 +127,35 @@
     )
 
 
-def test_what_control_has_told_fades_and_is_not_taken_twice():
+def test_a_condition_from_control_decays_and_is_not_applied_twice():
     clock = Clock()
-    destinations, known = destinations_with(clock, slowness=80)
-    assert condition_factor(known, clock.now) == pytest.approx(4.0)
+    destinations, destination = destinations_with(clock, slowness=80)
+    assert condition_factor(destination, clock.now) == pytest.approx(4.0)
     clock.now += 30.0
-    faded = condition_factor(known, clock.now)
+    decayed = condition_factor(destination, clock.now)
     destinations.apply(MemberDelta(True, [member_of(sequence=2, slowness=80)]))
-    assert condition_factor(known, clock.now) == pytest.approx(faded)
-    assert faded == pytest.approx(1.0)
+    assert condition_factor(destination, clock.now) == pytest.approx(decayed)
+    assert decayed == pytest.approx(1.0)
 
 
-def test_a_worker_that_is_well_is_avoided_where_only_the_way_to_it_is_slow():
+def test_a_healthy_worker_is_avoided_by_callers_with_a_slow_path_to_it():
     clock = Clock()
-    _, known = destinations_with(clock)
+    _, destination = destinations_with(clock)
     for _ in range(10):
-        known.slowness.sample(clock.now, 9.0)
-    known.take_condition(clock.now, WELL)
-    assert condition_factor(known, clock.now) > 3.0
+        destination.slowness.sample(clock.now, 9.0)
+    destination.take_condition(clock.now, WELL)
+    assert condition_factor(destination, clock.now) > 3.0
 
 
 def test_every_sidecar_knows_of_a_failing_worker_within_two_seconds():
     def script(mesh):
-        sick = mesh.machines[0]
-        sick.sidecar.condition.run_ended(True, None)
+        failing_machine = mesh.machines[0]
+        failing_machine.sidecar.condition.run_ended(True, None)
         for _ in range(8):
-            sick.sidecar.condition.run_ended(True, None)
+            failing_machine.sidecar.condition.run_ended(True, None)
         gevent.sleep(2.0)
-        other = mesh.machines[2].sidecar.destinations._by_node[sick.name]
-        return other.condition.faults
+        destination = mesh.machines[2].sidecar.destinations._by_node[failing_machine.name]
+        return destination.condition.faults
 
     assert play(script) > 0.3
 
--- a/tests/test_worker_end.py
+++ b/tests/test_worker_exit.py
@@ -1,4 +1,4 @@
-"""What tells the end of a worker from the loss of one connection, and what is told of it."""
+"""Detection of a worker's exit, as opposed to the loss of a connection, and its report."""
 
 from __future__ import annotations
 
@@ -9,79 +9,79 @@
 from mesh_support import play
 
 
-def ends_seen(machine):
-    """Have the ends of a machine's worker noted; return the list of them."""
-    seen = []
-    tell = machine.sidecar.gate._exits._on_exit
+def record_exits(machine):
+    """Return a list that collects the exits of a machine's worker."""
+    exits = []
+    notify = machine.sidecar.gate._exits._on_exit
 
-    def on_end(end):
-        seen.append(end)
-        tell(end)
+    def on_exit(worker_exit):
+        exits.append(worker_exit)
+        notify(worker_exit)
 
-    machine.sidecar.gate._exits._on_exit = on_end
-    return seen
+    machine.sidecar.gate._exits._on_exit = on_exit
+    return exits
 
 
-def attempts_seen(machine):
-    """Have the reasons of a machine's attempts noted; return the list of them."""
-    seen = []
-    tell = machine.sidecar.dispatcher._on_attempt
+def record_attempt_reasons(machine):
+    """Return a list that collects the reasons of a machine's attempts."""
+    reasons = []
+    notify = machine.sidecar.dispatcher._on_attempt
 
     def on_attempt(call, destination, reply, seconds):
-        seen.append(reply.reason)
-        tell(call, destination, reply, seconds)
+        reasons.append(reply.reason)
+        notify(call, destination, reply, seconds)
 
     machine.sidecar.dispatcher._on_attempt = on_attempt
-    return seen
+    return reasons
 
 
-def test_the_end_of_a_worker_names_all_that_ran_there_once():
+def test_a_worker_exit_is_reported_once_with_all_interrupted_runs():
     def script(mesh):
         target = mesh.machines[2]
-        seen = ends_seen(target)
+        exits = record_exits(target)
         target.worker.state.seconds = 1.0
         for name in ("a", "b", "c"):
             gevent.spawn(mesh.request, mesh.machines[0], f"/other/{name}", name=name)
         gevent.sleep(0.2)
-        reasons = attempts_seen(mesh.machines[0])
+        reasons = record_attempt_reasons(mesh.machines[0])
         target.worker_process.kill()
         gevent.sleep(0.2)
-        assert len(seen) == 1
-        assert len({run.identity for run in seen[0].runs}) == 3
-        return sorted(run.request for run in seen[0].runs), seen[0].planned, set(reasons)
+        assert len(exits) == 1
+        assert len({run.identity for run in exits[0].runs}) == 3
+        return sorted(run.request for run in exits[0].runs), exits[0].planned, set(reasons)
 
     assert play(script) == (["a", "b", "c"], False, {Reason.WORKER_ENDED})
 
 
 @pytest.mark.parametrize("fault", ["lose_answers", "cut_answers", "garbage_answers"])
-def test_an_answer_that_is_lost_is_no_end_of_the_worker(fault):
+def test_a_lost_answer_is_not_a_worker_exit(fault):
     def script(mesh):
         target = mesh.machines[2]
-        seen = ends_seen(target)
-        reasons = attempts_seen(mesh.machines[0])
+        exits = record_exits(target)
+        reasons = record_attempt_reasons(mesh.machines[0])
         setattr(target.worker.state, fault, 1)
         mesh.request(mesh.machines[0], "/other/x")
-        return seen, Reason.WORKER_ENDED in reasons
+        return exits, Reason.WORKER_ENDED in reasons
 
     assert play(script) == ([], False)
 
 
-def test_the_end_of_a_worker_that_has_said_that_it_leaves_is_planned():
+def test_the_exit_of_a_draining_worker_is_planned():
     def script(mesh):
         target = mesh.machines[2]
-        seen = ends_seen(target)
+        exits = record_exits(target)
         target.worker.state.seconds = 1.0
         gevent.spawn(mesh.request, mesh.machines[0], "/other/x")
         gevent.sleep(0.2)
         target.worker.drain()
         target.worker_process.kill()
         gevent.sleep(0.2)
-        return [end.planned for end in seen]
+        return [worker_exit.planned for worker_exit in exits]
 
     assert play(script) == [True]
 
 
-def test_looking_for_an_end_leaves_a_connection_that_is_used_again():
+def test_the_connection_of_an_exit_check_is_reused():
     def script(mesh):
         worker = mesh.machines[2].worker.state
         worker.lose_answers = 1
