--- a/src/cranklane/sidecar/request/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -10,7 +10,7 @@
 from cranklane.records.messages import ForwardRequest
 from cranklane.sidecar.request.call_tree import CallFailure
 from cranklane.sidecar.request.slot_work import SlotWork
-from cranklane.sidecar.worker.condition import WELL, Condition
+from cranklane.sidecar.worker.condition import HEALTHY, Condition
 
 BodyReader = Callable[[], bytes]
 """Returns the next piece of a request's body, nothing at its end."""
@@ -62,7 +62,7 @@
     running: int = 0
     queued: int = 0
     slots: int = 0
-    condition: Condition = WELL
+    condition: Condition = HEALTHY
 
 
 @dataclass(slots=True)
--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -13,7 +13,7 @@
 from cranklane.runtime.interface import Address
 from cranklane.sidecar.request.attempt import Load
 from cranklane.sidecar.routing.ejection import Failure, ejection_seconds
-from cranklane.sidecar.worker.condition import WELL, Condition
+from cranklane.sidecar.worker.condition import HEALTHY, Condition
 from cranklane.sidecar.worker.slowness import Slowness
 
 SATURATED_SECONDS = 0.02
@@ -62,9 +62,9 @@
     reported: int = 0
     opened_since: int = 0
     in_flight: int = 0
-    condition: Condition = WELL
+    condition: Condition = HEALTHY
     condition_at: float = 0.0
-    condition_by_control: Condition = WELL
+    condition_by_control: Condition = HEALTHY
     slowness: Slowness = field(default_factory=Slowness)
     failures: int = 0
     ejected_until: float = 0.0
--- a/src/cranklane/sidecar/worker/condition.py
+++ b/src/cranklane/sidecar/worker/condition.py
@@ -61,7 +61,7 @@
         (Condition(faults=0.45, slowness=6.2), Condition(faults=0.0, slowness=1.0))
         """
         if not faults and slowness <= _TENTHS:
-            return WELL
+            return HEALTHY
         return cls(faults / _PERCENT, max(1.0, slowness / _TENTHS))
 
     @property
@@ -91,7 +91,7 @@
         return higher > REPORTED_SLOWNESS_QUOTIENT * lower
 
 
-WELL = Condition()
+HEALTHY = Condition()
 """Condition of a worker without known faults or slowness."""
 
 
@@ -123,7 +123,7 @@
         self._faults = FaultRatio()
         self._slowness = Slowness()
         self._reported_at = clock()
-        self.reported = WELL
+        self.reported = HEALTHY
 
     def run_ended(self, failed: bool, ratio: float | None) -> None:
         """Record the end of a run, and report the condition if a report is due.
@@ -152,6 +152,6 @@
         current = self.now()
         if not should_report(self.reported, age, current):
             return False
-        self.reported = WELL if current.is_well else current
+        self.reported = HEALTHY if current.is_well else current
         self._reported_at = self._clock()
         return True
--- a/tests/test_sidecar_rules.py
+++ b/tests/test_sidecar_rules.py
@@ -25,7 +25,7 @@
 from cranklane.sidecar.request.decision import Decision
 from cranklane.sidecar.request.slot_work import SlotWork
 from cranklane.sidecar.telemetry.request_summary import Cause, End, cause_of, end_of
-from cranklane.sidecar.worker.condition import WELL, Condition, should_report
+from cranklane.sidecar.worker.condition import HEALTHY, Condition, should_report
 from cranklane.sidecar.worker.fault_ratio import FaultRatio
 from cranklane.sidecar.worker.instances import InstanceHistory
 from cranklane.sidecar.worker.pool import WorkerPool
@@ -36,17 +36,17 @@
 @pytest.mark.parametrize(
     ("reported", "age", "current", "expected"),
     [
-        (WELL, 1.0, Condition(0.16, 1.0), True),
-        (WELL, 1.0, Condition(0.14, 1.0), False),
-        (WELL, 1.0, Condition(0.0, 3.1), True),
-        (WELL, 1.0, Condition(0.0, 2.9), False),
+        (HEALTHY, 1.0, Condition(0.16, 1.0), True),
+        (HEALTHY, 1.0, Condition(0.14, 1.0), False),
+        (HEALTHY, 1.0, Condition(0.0, 3.1), True),
+        (HEALTHY, 1.0, Condition(0.0, 2.9), False),
         # The decayed report is close to the current condition.
         (Condition(0.8, 1.0), 3.0, Condition(0.4, 1.0), False),
         (Condition(0.8, 1.0), 3.0, Condition(0.8, 1.0), True),
         # A recovery is reported once the decayed report counts as healthy as well.
-        (Condition(0.2, 1.0), 3.0, WELL, False),
-        (Condition(0.2, 1.0), 7.0, WELL, True),
-        (WELL, 7.0, WELL, False),
+        (Condition(0.2, 1.0), 3.0, HEALTHY, False),
+        (Condition(0.2, 1.0), 7.0, HEALTHY, True),
+        (HEALTHY, 7.0, HEALTHY, False),
     ],
 )
 def test_a_condition_is_reported_when_it_differs_from_the_decayed_report(
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -22,7 +22,7 @@
 from cranklane.sidecar.routing.destinations import Destinations
 from cranklane.sidecar.routing.ejection import EJECTION_SECONDS, Failure
 from cranklane.sidecar.routing.worker_choice import WorkerChoice
-from cranklane.sidecar.worker.condition import WELL, Condition
+from cranklane.sidecar.worker.condition import HEALTHY, Condition
 from cranklane.sidecar.worker.slowness import TOLERATED
 
 SLOTS = 10
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize(
     ("reported", "factor"),
     [
-        (WELL, 1.0),
+        (HEALTHY, 1.0),
         (Condition(0.0, 3 * TOLERATED), 3.0),
         (Condition(1.0, 1.0), 1.0 + FAULTS_COST),
         (Condition(0.5, 3 * TOLERATED), 3.0 + FAULTS_COST / 2),
@@ -201,5 +201,5 @@
     known["a"].take_control_condition(50.0, sick)
     known["a"].take_control_condition(60.0, replace(sick))
     assert known["a"].condition_at == 50.0
-    known["a"].take_control_condition(70.0, WELL)
+    known["a"].take_control_condition(70.0, HEALTHY)
     assert known["a"].condition_at == 70.0
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -12,8 +12,8 @@
 from cranklane.sidecar.routing.cost import condition_factor
 from cranklane.sidecar.routing.destinations import Destinations
 from cranklane.sidecar.worker.condition import (
+    HEALTHY,
     MIN_REPORT_INTERVAL_SECONDS,
-    WELL,
     Condition,
     WorkerCondition,
 )
@@ -81,7 +81,7 @@
         clock.now += 0.5
         condition.run_ended(False, 1.0)
     assert 1 <= slow <= 4
-    assert reports[-1] is WELL
+    assert reports[-1] is HEALTHY
     assert len(reports) <= slow + 5
 
 
@@ -101,7 +101,7 @@
     assert not condition.reported.is_well
     clock.now += 30.0
     assert condition.renew()
-    assert condition.reported is WELL
+    assert condition.reported is HEALTHY
 
 
 def destinations_with(clock, **fields):
@@ -143,7 +143,7 @@
     _, destination = destinations_with(clock)
     for _ in range(10):
         destination.slowness.sample(clock.now, 9.0)
-    destination.take_condition(clock.now, WELL)
+    destination.take_condition(clock.now, HEALTHY)
     assert condition_factor(destination, clock.now) > 3.0
 
 
