--- a/src/cranklane/sidecar/routing/cost.py
+++ b/src/cranklane/sidecar/routing/cost.py
@@ -72,7 +72,7 @@
     """
     slowness = destination.slowness.at(now)
     reported = destination.condition
-    if reported.is_well:
+    if reported.is_healthy:
         return max(1.0, slowness / TOLERATED)
     decayed = reported.decayed(now - destination.condition_at)
     return max(1.0, max(slowness, decayed.slowness) / TOLERATED) + FAULTS_COST * decayed.faults
--- a/src/cranklane/sidecar/worker/condition.py
+++ b/src/cranklane/sidecar/worker/condition.py
@@ -75,7 +75,7 @@
         return min(_MAX_TENTHS, round(self.slowness * _TENTHS))
 
     @property
-    def is_well(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether fault ratio and slowness are within the usual range."""
         return self.faults < MIN_FAULT_RATIO and self.slowness < TOLERATED
 
@@ -106,7 +106,7 @@
     if current.differs_notably_from(decayed_report):
         return True
     # Control stores the last report without decay, so a recovery must be reported as well.
-    return current.is_well and decayed_report.is_well and not reported.is_well
+    return current.is_healthy and decayed_report.is_healthy and not reported.is_healthy
 
 
 class WorkerCondition:
@@ -152,6 +152,6 @@
         current = self.now()
         if not should_report(self.reported, age, current):
             return False
-        self.reported = HEALTHY if current.is_well else current
+        self.reported = HEALTHY if current.is_healthy else current
         self._reported_at = self._clock()
         return True
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -98,7 +98,7 @@
     clock.now += 1.0
     for _ in range(10):
         condition.run_ended(True, 8.0)
-    assert not condition.reported.is_well
+    assert not condition.reported.is_healthy
     clock.now += 30.0
     assert condition.renew()
     assert condition.reported is HEALTHY
