--- a/src/cranklane/sidecar/routing/cost.py
+++ b/src/cranklane/sidecar/routing/cost.py
@@ -15,7 +15,7 @@
 import math
 
 from cranklane.sidecar.routing.destination import Destination
-from cranklane.sidecar.worker.slowness import TOLERATED
+from cranklane.sidecar.worker.slowness import TOLERATED_SLOWNESS
 
 OTHER_ZONE_FACTOR = 1.15
 """How many times longer a run in another zone counts. A choice: bytes between zones are paid
@@ -73,6 +73,9 @@
     slowness = destination.slowness.at(now)
     reported = destination.condition
     if reported.is_healthy:
-        return max(1.0, slowness / TOLERATED)
+        return max(1.0, slowness / TOLERATED_SLOWNESS)
     decayed = reported.decayed(now - destination.condition_at)
-    return max(1.0, max(slowness, decayed.slowness) / TOLERATED) + FAULTS_COST * decayed.faults
+    return (
+        max(1.0, max(slowness, decayed.slowness) / TOLERATED_SLOWNESS)
+        + FAULTS_COST * decayed.faults
+    )
--- a/src/cranklane/sidecar/worker/condition.py
+++ b/src/cranklane/sidecar/worker/condition.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass
 
 from cranklane.sidecar.worker.fault_ratio import FaultRatio, decayed
-from cranklane.sidecar.worker.slowness import TOLERATED, Slowness, decayed_slowness
+from cranklane.sidecar.worker.slowness import TOLERATED_SLOWNESS, Slowness, decayed_slowness
 
 REPORTED_FAULT_DIFFERENCE = 0.15
 """Difference of fault ratios above which a report is due; smaller ones hardly affect routing."""
@@ -77,7 +77,7 @@
     @property
     def is_healthy(self) -> bool:
         """Whether fault ratio and slowness are within the usual range."""
-        return self.faults < MIN_FAULT_RATIO and self.slowness < TOLERATED
+        return self.faults < MIN_FAULT_RATIO and self.slowness < TOLERATED_SLOWNESS
 
     def decayed(self, age: float) -> Condition:
         """Return the condition as receivers see it ``age`` seconds after the report."""
@@ -87,7 +87,9 @@
         """Return whether the difference is large enough to affect the choice of workers."""
         if abs(self.faults - other.faults) > REPORTED_FAULT_DIFFERENCE:
             return True
-        lower, higher = sorted((max(TOLERATED, self.slowness), max(TOLERATED, other.slowness)))
+        lower, higher = sorted(
+            (max(TOLERATED_SLOWNESS, self.slowness), max(TOLERATED_SLOWNESS, other.slowness))
+        )
         return higher > REPORTED_SLOWNESS_QUOTIENT * lower
 
 
--- a/src/cranklane/sidecar/worker/slowness.py
+++ b/src/cranklane/sidecar/worker/slowness.py
@@ -29,7 +29,7 @@
 """Time in which slowness halves without runs. A longer half-life sends fewer requests to slow
 workers, but delays the return of recovered ones."""
 
-TOLERATED = 2.0
+TOLERATED_SLOWNESS = 2.0
 """Multiple of the expected latency that is within the usual variation of machines and requests."""
 
 
@@ -48,7 +48,7 @@
     >>> decayed_slowness(5.0, 0.0), decayed_slowness(5.0, 6.0), decayed_slowness(1.5, 6.0)
     (5.0, 3.0, 1.5)
     """
-    if slowness < TOLERATED:
+    if slowness < TOLERATED_SLOWNESS:
         return slowness
     return 1.0 + (slowness - 1.0) * 0.5 ** (age / HALF_LIFE_SECONDS)
 
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -23,7 +23,7 @@
 from cranklane.sidecar.routing.ejection import EJECTION_SECONDS, Failure
 from cranklane.sidecar.routing.worker_choice import WorkerChoice
 from cranklane.sidecar.worker.condition import HEALTHY, Condition
-from cranklane.sidecar.worker.slowness import TOLERATED
+from cranklane.sidecar.worker.slowness import TOLERATED_SLOWNESS
 
 SLOTS = 10
 NODES = ("a", "b", "c")
@@ -176,9 +176,9 @@
     ("reported", "factor"),
     [
         (HEALTHY, 1.0),
-        (Condition(0.0, 3 * TOLERATED), 3.0),
+        (Condition(0.0, 3 * TOLERATED_SLOWNESS), 3.0),
         (Condition(1.0, 1.0), 1.0 + FAULTS_COST),
-        (Condition(0.5, 3 * TOLERATED), 3.0 + FAULTS_COST / 2),
+        (Condition(0.5, 3 * TOLERATED_SLOWNESS), 3.0 + FAULTS_COST / 2),
     ],
 )
 def test_a_run_at_a_worker_in_bad_condition_costs_more(reported, factor):
@@ -190,8 +190,8 @@
 def test_the_larger_of_the_reported_and_the_measured_slowness_counts():
     known = Known()
     for _ in range(60):
-        known["a"].slowness.sample(known.clock.now, 4 * TOLERATED)
-    known["a"].take_condition(known.clock.now, Condition(0.0, 2 * TOLERATED))
+        known["a"].slowness.sample(known.clock.now, 4 * TOLERATED_SLOWNESS)
+    known["a"].take_condition(known.clock.now, Condition(0.0, 2 * TOLERATED_SLOWNESS))
     assert condition_factor(known["a"], known.clock.now) == pytest.approx(4.0, rel=0.01)
 
 
