--- a/src/cranklane/sidecar/admission/crash_evidence.py
+++ b/src/cranklane/sidecar/admission/crash_evidence.py
@@ -16,7 +16,7 @@
 from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane.sidecar.request.attempt import Reply, unknown
 from cranklane.sidecar.worker.exit import (
-    LEAVING,
+    PLANNED_EXIT_STATES,
     InterruptedRun,
     WorkerExit,
     identity_of_request,
@@ -60,7 +60,7 @@
         It says for how long the request is quarantined, if it is: the sender would retry it
         before the other sidecars' updates reach it.
         """
-        if self._worker.state in LEAVING:
+        if self._worker.state in PLANNED_EXIT_STATES:
             return unknown(Reason.WORKER_LEFT)
         reply = unknown(Reason.WORKER_ENDED)
         identity = identity_of_request(request)
--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -30,7 +30,7 @@
 from cranklane.sidecar.request.call_tree import CallTree, Root, Run
 from cranklane.sidecar.worker.condition import WorkerCondition
 from cranklane.sidecar.worker.exchange import WorkerExchange
-from cranklane.sidecar.worker.exit import LEAVING, WorkerExit, WorkerExits
+from cranklane.sidecar.worker.exit import PLANNED_EXIT_STATES, WorkerExit, WorkerExits
 from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
 from cranklane.sidecar.worker.slowness import ratio_to
 
@@ -92,7 +92,7 @@
         return Reason.NO_MEMBERS
     if state is WorkerState.READY:
         return Reason.NONE
-    return Reason.DRAINING if state in LEAVING else Reason.WORKER_UNREACHABLE
+    return Reason.DRAINING if state in PLANNED_EXIT_STATES else Reason.WORKER_UNREACHABLE
 
 
 class Gate:
--- a/src/cranklane/sidecar/worker/exit.py
+++ b/src/cranklane/sidecar/worker/exit.py
@@ -16,7 +16,7 @@
 from cranklane.sidecar.worker.exit_check import WorkerExitCheck
 from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
 
-LEAVING = (WorkerState.DRAINING, WorkerState.GONE)
+PLANNED_EXIT_STATES = (WorkerState.DRAINING, WorkerState.GONE)
 """States in which an exit of the worker is planned, not a crash."""
 
 
@@ -99,7 +99,7 @@
         if instance == self._exited_instance:
             return True
         # Read before the check, which blocks: the worker may be replaced in the meantime.
-        planned = self._worker.state in LEAVING
+        planned = self._worker.state in PLANNED_EXIT_STATES
         if self._check is None or not self._check.has_exited():
             return False
         if instance != self._exited_instance:
