--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -122,7 +122,7 @@
         self._exits = WorkerExits(runtime, registry, self._evidence.worker_exited)
         self._isolated_runs = IsolatedRuns(runtime.monotonic, quarantine)
         self._exchange = (
-            WorkerExchange(runtime, registry.pool, names, registry.other_instance)
+            WorkerExchange(runtime, registry.pool, names, registry.note_unexpected_instance)
             if registry.pool is not None
             else None
         )
--- a/src/cranklane/sidecar/worker/registry.py
+++ b/src/cranklane/sidecar/worker/registry.py
@@ -174,7 +174,7 @@
         if self.state is WorkerState.READY:
             self._set_state(WorkerState.UNREACHABLE)
 
-    def other_instance(self, instance: str) -> None:
+    def note_unexpected_instance(self, instance: str) -> None:
         """Record that an instance other than the known one answered."""
         if instance and instance != self.instance:
             self._log.warning("worker_replaced", known=self.instance, answered=instance)
