--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -32,7 +32,7 @@
 from cranklane.sidecar.worker.exchange import WorkerExchange
 from cranklane.sidecar.worker.exit import PLANNED_EXIT_STATES, WorkerExit, WorkerExits
 from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
-from cranklane.sidecar.worker.slowness import ratio_to
+from cranklane.sidecar.worker.slowness import latency_ratio
 
 
 class GateListener(Protocol):
@@ -283,7 +283,7 @@
             reply.failure = run.failure
         slowness = None
         if request.expected_latency_us > 0 and run_outcome.measures_latency(reply):
-            slowness = ratio_to(request.expected_latency_us / MICROSECONDS, run_seconds)
+            slowness = latency_ratio(request.expected_latency_us / MICROSECONDS, run_seconds)
         self._condition.run_ended(run_outcome.is_own_fault(run, reply), slowness)
         starved = reply.downstream_starved or run_outcome.may_be_starved(
             reply, self._call_tree.correlates
--- a/src/cranklane/sidecar/worker/slowness.py
+++ b/src/cranklane/sidecar/worker/slowness.py
@@ -33,10 +33,10 @@
 """Multiple of the expected latency that is within the usual variation of machines and requests."""
 
 
-def ratio_to(expected: float, seconds: float) -> float:
+def latency_ratio(expected: float, seconds: float) -> float:
     """Return a run time as a multiple of the expected latency; 1 if that is unknown or tiny.
 
-    >>> ratio_to(0.1, 0.4), ratio_to(0.0, 0.4)
+    >>> latency_ratio(0.1, 0.4), latency_ratio(0.0, 0.4)
     (4.0, 1.0)
     """
     return seconds / expected if expected > MIN_LATENCY_SECONDS else 1.0
@@ -77,7 +77,7 @@
             expected = seconds
         weight = RISE_WEIGHT if seconds > expected else FALL_WEIGHT
         self._expected[route] = expected + weight * (seconds - expected)
-        return ratio_to(expected, seconds)
+        return latency_ratio(expected, seconds)
 
 
 class Slowness:
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -21,7 +21,7 @@
 from cranklane.sidecar.routing.destinations import Destinations
 from cranklane.sidecar.routing.worker_choice import WorkerChoice
 from cranklane.sidecar.worker.condition import Condition, WorkerCondition
-from cranklane.sidecar.worker.slowness import ExpectedLatencies, ratio_to
+from cranklane.sidecar.worker.slowness import ExpectedLatencies, latency_ratio
 
 SERVICE = "service"
 ROUTE = "route"
@@ -252,7 +252,9 @@
     def _ended(self, worker: _Worker, request: _Request, failed: bool, seconds: float) -> None:
         worker.running -= 1
         known = request.typical > 0 and not failed
-        worker.condition.run_ended(failed, ratio_to(request.typical, seconds) if known else None)
+        worker.condition.run_ended(
+            failed, latency_ratio(request.typical, seconds) if known else None
+        )
         if worker.queue:
             self._run(worker, worker.queue.pop(0))
         told = worker.condition.now() if self._shape.told else Condition()
