--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -97,7 +97,7 @@
         key = head.value(self._key_name)
         if key is None:
             return self._identify_call(request, table, route, run)
-        if not self._lease.holds:
+        if not self._lease.is_valid:
             return self._refuse(request, Reason.TABLE_STALE, None, retry_after.UNCERTAIN_MS)
         tenant = table.tenants.holder_of(key)
         if tenant is None:
--- a/src/cranklane/sidecar/table/table_lease.py
+++ b/src/cranklane/sidecar/table/table_lease.py
@@ -58,7 +58,7 @@
         return self._clock() - self._newest_at
 
     @property
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether requests with a key may be served."""
         return self._lease_seconds <= 0 or self.age <= self._lease_seconds
 
@@ -74,10 +74,10 @@
 
     def check(self) -> None:
         """Log a change since the last check, unless the table has no tenants."""
-        holds = self._lease.holds
+        is_valid = self._lease.is_valid
         table = self._table.table
-        if holds == self._was_valid or table.tenants is None:
+        if is_valid == self._was_valid or table.tenants is None:
             return
-        self._was_valid = holds
-        event = "table_lease_regained" if holds else "table_lease_lost"
+        self._was_valid = is_valid
+        event = "table_lease_regained" if is_valid else "table_lease_lost"
         self._log.warning(event, table=table.version, age=round(self._lease.age, 2))
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -259,7 +259,7 @@
 
 
 def test_without_the_lease_a_revoked_key_would_run(monkeypatch):
-    monkeypatch.setattr(table_lease.TableLease, "holds", True)
+    monkeypatch.setattr(table_lease.TableLease, "is_valid", True)
     assert play(revoked_out_of_touch)[1] == 200
 
 
@@ -302,22 +302,22 @@
 def test_a_lease_counts_from_when_its_word_was_asked_for():
     now = [100.0]
     lease = TableLease(lambda: now[0], 5.0)
-    assert not lease.holds
+    assert not lease.is_valid
     lease.confirmed(newest_at=96.0, revision=3, in_force=3)
-    assert lease.holds
+    assert lease.is_valid
     now[0] = 101.0
-    assert not lease.holds
+    assert not lease.is_valid
 
 
 def test_a_confirmed_table_counts_once_it_is_in_force():
     now = [100.0]
     lease = TableLease(lambda: now[0], 5.0)
     lease.confirmed(newest_at=100.0, revision=4, in_force=3)
-    assert not lease.holds
+    assert not lease.is_valid
     lease.adopted(3)
-    assert not lease.holds
+    assert not lease.is_valid
     lease.adopted(4)
-    assert lease.holds
+    assert lease.is_valid
 
 
 # Limits.
