--- a/src/cranklane/sidecar/ingress/answer_writer.py
+++ b/src/cranklane/sidecar/ingress/answer_writer.py
@@ -39,7 +39,7 @@
     ) -> bool:
         """Write a worker's answer; return whether the connection can serve another request.
 
-        :param reusable: whether the connection can serve another request after this answer.
+        :param reusable: whether the connection can be reused if the answer is complete.
         :param deadline: monotonic second at which the caller gives up.
         """
         connection.stream.settimeout(WRITE_TIMEOUT_SECONDS)
--- a/src/cranklane/sidecar/ingress/disconnect.py
+++ b/src/cranklane/sidecar/ingress/disconnect.py
@@ -10,7 +10,7 @@
 from cranklane.runtime.interface import Runtime
 
 CHECK_INTERVAL_SECONDS = 0.25
-"""Seconds between checks of all connections."""
+"""Interval between checks: limits the work wasted after a disconnect; each check wakes the CPU."""
 
 
 class DisconnectWatch:
--- a/src/cranklane/sidecar/worker/probe.py
+++ b/src/cranklane/sidecar/worker/probe.py
@@ -23,7 +23,6 @@
 """Attempts to get an answer; after these, the worker becomes known by its heartbeats."""
 
 RETRY_PAUSE_SECONDS = 0.2
-"""Pause between two attempts."""
 
 _LOAD_FIELDS = 3
 """Fields of the worker's load header: running, waiting, slots."""
--- a/src/cranklane/sidecar/worker/registry.py
+++ b/src/cranklane/sidecar/worker/registry.py
@@ -24,7 +24,7 @@
 """Fraction of a worker's slots that is used; some workers slow down when nearly full."""
 
 SMALL_WORKER_SLOTS = 10
-"""Number of slots below which all of them are used."""
+"""Number of slots below which all are used: leaving one free would cost a large fraction."""
 
 MISSED_HEARTBEATS = 3.5
 """Heartbeat intervals of silence after which the worker is lost; tolerates three missed ones."""
