--- a/src/cranklane/ledger/__init__.py
+++ b/src/cranklane/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""What may run only once: replicated entries that nodes ask before they run a call."""
+"""Ledger: replicated entries that make calls run at most once for each idempotency key."""
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -1,7 +1,4 @@
-"""A ledger process: one replica of one ledger group.
-
-Owns the parts and the order in which they start and stop.
-"""
+"""A ledger process: one replica of a ledger group."""
 
 from __future__ import annotations
 
@@ -35,8 +32,8 @@
 )
 
 SILENT_SECONDS = 10.0
-"""Seconds without a byte after which a node or replica counts as lost. A choice: longer than a
-node keeps an idle connection."""
+"""Seconds without a byte after which a connection from a node or replica counts as lost. Longer
+than a node keeps an idle connection (cranklane.node.ledger_client.IDLE_TIMEOUT_SECONDS)."""
 
 _SUBSCRIPTION_FOLDER = "subscription"
 
@@ -46,22 +43,22 @@
     """Settings of a ledger process."""
 
     name: str = setting(NAME, help="name of this process, unique in the fleet")
-    zone: str = setting(NAME, help="zone this machine stands in")
-    group: str = setting(NAME, help="ledger group, as policies name it")
+    zone: str = setting(NAME, help="zone of this machine")
+    group: str = setting(NAME, help="name of the ledger group in policies")
     listen: str = setting(ADDRESS, help="address for nodes and the group's other replicas")
-    controls: list[str] = setting(ADDRESSES, help="control processes to follow")
+    controls: list[str] = setting(ADDRESSES, help="addresses of the control processes")
     data: str = setting(TEXT, help="data folder")
     replicas: list[str] = setting(
         ADDRESSES_OR_NONE, [], help="listen addresses of the group's other replicas"
     )
     founder: bool = setting(
-        YES_OR_NO, False, help="found the group when all replicas named say there is none"
+        YES_OR_NO, False, help="create the group if all replicas report that it does not exist"
     )
-    voter: bool = setting(YES_OR_NO, True, help="vote, or only follow")
+    voter: bool = setting(YES_OR_NO, True, help="join as a voter; otherwise as a learner")
 
 
 class LedgerProcess:
-    """One replica of a ledger group that answers nodes while it leads."""
+    """One replica of a ledger group; answers nodes' requests while it is the leader."""
 
     def __init__(self, runtime: Runtime, settings: LedgerSettings) -> None:
         self.runtime = runtime
@@ -83,7 +80,7 @@
         self._port = ReplicaPort(peers, self._hello, self.service.serve, SILENT_SECONDS)
 
     def start(self) -> None:
-        """Restore the last state, open the port, find the group and control."""
+        """Restore the stored state, open the port, join the group and subscribe to control."""
         settings = self.settings
         self.replica.open()
         self._listener = self.runtime.listen(parse_address(settings.listen), self._port.accept)
@@ -94,14 +91,14 @@
         self._log.info("started", entries=len(self.store))
 
     def stop(self) -> bool:
-        """Stop; everything acknowledged is on disk already."""
+        """Stop at once, as all acknowledged requests are on disk."""
         self._subscription.stop()
         self._listener.close()
         self._log.info("stopped", entries=len(self.store))
         return True
 
     def _new_subscription(self) -> Subscription:
-        """Make this process known to nodes as a member of the system's own service."""
+        """Return a subscription that publishes this process as a member of a system service."""
         settings = self.settings
         identity = Subscribe(
             incarnation=self.incarnation,
--- a/src/cranklane/ledger/service.py
+++ b/src/cranklane/ledger/service.py
@@ -1,7 +1,6 @@
-"""Answers nodes' requests to a ledger group; the leader commits many at once.
+"""Answers nodes' requests to a ledger group; the leader commits them in batches.
 
-Owns the requests whose answers are owed. Relies on the replica to commit batches and on
-:mod:`~cranklane.ledger.store` for what they decide.
+The replica commits the batches, and :mod:`~cranklane.ledger.store` decides on the requests.
 """
 
 from __future__ import annotations
@@ -26,68 +25,68 @@
 from cranklane.replication.replica import Replica
 from cranklane.runtime.interface import Runtime
 
-COMMITTERS = 2
-"""Batches under way at once; requests that come meanwhile make the next one. A choice: one is
-written while the other is gathered."""
+CONCURRENT_BATCHES = 2
+"""Batches committed concurrently; requests that arrive meanwhile form the next batch."""
 
 MAX_BATCH = 512
-"""Requests of one batch at most. A choice: it bounds the time of one commit, and a
-burst is committed in few batches."""
+"""Largest number of requests in a batch; bounds the time of one commit."""
 
 
 @dataclass(frozen=True)
 class _Pending:
-    """A request whose answer is owed."""
+    """A request to be answered."""
 
     request: LedgerBegin | LedgerFinish
     records: RecordConnection
-    call: int
+    call_number: int
 
     def answer(self, message: Message) -> None:
-        """Send the answer, if the node is still there."""
+        """Send the answer; ignore a lost connection."""
         try:
-            self.records.send(message, self.call)
+            self.records.send(message, self.call_number)
         except ConnectionLostError:
-            # The node asks again with the same attempt number and gets the same answer.
+            # The node resends the request with the same attempt number and gets the same answer.
             pass
 
 
 class LedgerService:
-    """The requests of one ledger process."""
+    """Handles the requests to one ledger process."""
 
     def __init__(self, runtime: Runtime, replica: Replica) -> None:
         self._runtime = runtime
         self._replica = replica
         self._pending: list[_Pending] = []
-        self._waiting = Event()
-        for _ in range(COMMITTERS):
+        self._requests_pending = Event()
+        for _ in range(CONCURRENT_BATCHES):
             runtime.spawn(self._commit_batches)
 
     def serve(self, records: RecordConnection) -> None:
-        """Take one node's requests until its connection ends."""
+        """Handle a node's requests until its connection ends."""
         try:
             while True:
-                call, message = records.receive()
-                self._take(records, call, message)
+                call_number, message = records.receive()
+                self._handle_request(records, call_number, message)
         except (ConnectionLostError, MalformedRecordError):
-            # The node connects again; what it has asked is committed all the same.
+            # The node reconnects. Its pending requests are still committed.
             pass
         finally:
             records.close()
 
-    def _take(self, records: RecordConnection, call: int, message: Message) -> None:
+    def _handle_request(
+        self, records: RecordConnection, call_number: int, message: Message
+    ) -> None:
         match message:
             case LedgerBegin() | LedgerFinish():
-                pending = _Pending(message, records, call)
+                pending = _Pending(message, records, call_number)
                 if not self._replica.may_read:
                     pending.answer(self._unavailable(not_run=True))
                     return
                 self._pending.append(pending)
-                self._waiting.set()
+                self._requests_pending.set()
             case Ping():
                 records.send(Ping())
             case _:
-                raise MalformedRecordError(f"{type(message).__name__} to a ledger")
+                raise MalformedRecordError(f"{type(message).__name__} is not a ledger request")
 
     def _unavailable(self, not_run: bool) -> LedgerUnavailable:
         leader = self._replica.leader_member()
@@ -95,29 +94,29 @@
 
     def _commit_batches(self) -> None:
         while True:
-            self._waiting.wait()
+            self._requests_pending.wait()
             if not self._pending:
-                self._waiting.clear()
+                self._requests_pending.clear()
                 continue
-            taken, self._pending = self._pending[:MAX_BATCH], self._pending[MAX_BATCH:]
-            self._commit(taken)
+            batch, self._pending = self._pending[:MAX_BATCH], self._pending[MAX_BATCH:]
+            self._commit(batch)
 
-    def _commit(self, taken: list[_Pending]) -> None:
-        begins = [item for item in taken if isinstance(item.request, LedgerBegin)]
-        finishes = [item for item in taken if isinstance(item.request, LedgerFinish)]
-        batch = LedgerBatch(
+    def _commit(self, batch: list[_Pending]) -> None:
+        begins = [pending for pending in batch if isinstance(pending.request, LedgerBegin)]
+        finishes = [pending for pending in batch if isinstance(pending.request, LedgerFinish)]
+        command = LedgerBatch(
             when=self._runtime.wall(),
-            begins=[item.request for item in begins],  # type: ignore[misc]
-            finishes=[item.request for item in finishes],  # type: ignore[misc]
+            begins=[pending.request for pending in begins],  # type: ignore[misc]
+            finishes=[pending.request for pending in finishes],  # type: ignore[misc]
         )
-        proposed = self._replica.propose(batch.pack())
+        proposed = self._replica.propose(command.pack())
         if isinstance(proposed, Err):
             not_run = proposed.err_value is ProposalFailure.NOT_LEADER
-            for item in taken:
-                item.answer(self._unavailable(not_run))
+            for pending in batch:
+                pending.answer(self._unavailable(not_run))
             return
         answers: BatchAnswer = proposed.ok_value
-        for item, grant in zip(begins, answers.grants, strict=True):
-            item.answer(grant)
-        for item, done in zip(finishes, answers.done, strict=True):
-            item.answer(done)
+        for pending, grant in zip(begins, answers.grants, strict=True):
+            pending.answer(grant)
+        for pending, done in zip(finishes, answers.done, strict=True):
+            pending.answer(done)
--- a/src/cranklane/ledger/store.py
+++ b/src/cranklane/ledger/store.py
@@ -1,8 +1,8 @@
-"""Decides which attempt of a once-call may run: the entries of one ledger group.
+"""State machine of a ledger group: entries that decide which attempt of a once-call may run.
 
-An entry belongs to a tenant's service and an idempotency key. It is created as
-started before the first byte of the call goes to a worker, and only the attempt
-that created it may run. It is kept for the retention, finished or not.
+Each entry has a tenant, a service and an idempotency key. The ledger creates it before the call
+is sent to a worker, and only the attempt that created it may run. Finished or not, it is kept
+for the retention period.
 """
 
 from __future__ import annotations
@@ -25,55 +25,54 @@
 )
 
 RETENTION_SECONDS = 86_400.0
-"""Seconds that an entry is kept. A choice: a resend within a day never runs again."""
+"""Seconds an entry is kept. A resend of the call in that time does not run again."""
 
-MAX_STORED_BODY = 16 * 1024
-"""Largest body that is stored with an answer, in bytes. A choice: bounds the memory of an entry;
-after a longer answer, a resend gets an unknown outcome."""
+MAX_STORED_BODY_BYTES = 16 * 1024
+"""Largest stored body of an answer. For a longer one, a resend gets an unknown outcome."""
 
 _NAME_BYTES = 16
-"""Bytes of an entry's name. A choice: 128 bits, at which two names never meet by accident."""
+"""Length of an entry's name; long enough to rule out accidental collisions."""
 _ENTRY_HEAD = Struct(f"!{_NAME_BYTES}sI")
-"""Before each entry of a packed state: its name and its length."""
+"""Header of each entry in a packed state: name and length of the entry."""
 
 
 class LedgerDecision(IntEnum):
-    """What an attempt may do."""
+    """Decision on an attempt of a once-call."""
 
     RUN = 0
-    """It has created the entry: it alone may run."""
+    """The attempt created the entry, and only this attempt may run."""
     ANSWERED = 1
-    """It ran before; the stored answer follows."""
+    """An earlier attempt ran; the grant holds its stored answer."""
     IN_PROGRESS = 2
     """Another attempt is running."""
     UNKNOWN = 3
-    """Another attempt may have run, and its answer is not known."""
+    """Another attempt may have run, and its answer is unknown."""
     CONFLICT = 4
-    """The key was used for another request."""
+    """The key belongs to another request."""
 
 
 @dataclass(frozen=True)
 class BatchAnswer:
-    """Answers to a batch, in its order."""
+    """Answers to the requests of a batch, in the same order."""
 
     grants: list[LedgerGrant]
     done: list[LedgerDone]
 
 
 def entry_name(tenant: str, service: str, key: str) -> bytes:
-    """Return the short name under which an entry is kept."""
+    """Return the name of an entry: a hash of its tenant, service and key."""
     return hashlib.blake2b(f"{tenant}\0{service}\0{key}".encode(), digest_size=_NAME_BYTES).digest()
 
 
 class LedgerStore:
-    """State of one ledger group; changes only by applying committed batches.
+    """State of one ledger group, changed only by committed batches.
 
-    :ivar now: newest time a leader has stated, seconds since 1970; never falls.
+    :ivar now: latest time of the applied batches in seconds since 1970; never decreases.
     """
 
     def __init__(self) -> None:
         self.now = 0.0
-        # Packed, and in the order of their start, which is that of their expiry.
+        # Packed entries, ordered by start time and therefore also by expiry.
         self._entries: dict[bytes, bytes] = {}
 
     def __len__(self) -> int:
@@ -105,9 +104,9 @@
         if entry.digest != request.digest:
             return LedgerGrant(LedgerDecision.CONFLICT)
         if entry.finished:
-            return _stored(entry)
+            return _stored_grant(entry)
         if entry.attempt == request.attempt:
-            # The same attempt asks again: it has lost the first answer.
+            # The attempt resent its request because the first answer was lost.
             return LedgerGrant(LedgerDecision.RUN)
         if self.now < entry.running_until:
             return LedgerGrant(LedgerDecision.IN_PROGRESS)
@@ -135,7 +134,7 @@
         if entry.attempt != request.attempt or entry.finished:
             return LedgerDone(False)
         if request.outcome == Outcome.NOT_RUN:
-            # The only attempt that might have run has not: the key is free again.
+            # The only attempt allowed to run did not run, so delete the entry to free the key.
             del self._entries[name]
             return LedgerDone(True)
         entry.finished = True
@@ -147,14 +146,14 @@
         return LedgerDone(True)
 
     def pack(self) -> bytes:
-        """Return the whole state for a snapshot."""
-        parts = []
+        """Return the packed state for a snapshot."""
+        chunks = []
         for name, packed in self._entries.items():
-            parts += [_ENTRY_HEAD.pack(name, len(packed)), packed]
-        return LedgerState(self.now, b"".join(parts)).pack()
+            chunks += [_ENTRY_HEAD.pack(name, len(packed)), packed]
+        return LedgerState(self.now, b"".join(chunks)).pack()
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by a snapshot's."""
+        """Replace the state with that of a snapshot; an empty snapshot clears it."""
         restored = LedgerState.unpack(state) if state else LedgerState()
         self.now = restored.now
         self._entries = {}
@@ -166,7 +165,7 @@
             self._entries[name] = restored.entries[start:position]
 
 
-def _stored(entry: LedgerEntry) -> LedgerGrant:
+def _stored_grant(entry: LedgerEntry) -> LedgerGrant:
     if entry.outcome == Outcome.ANSWERED:
         return LedgerGrant(LedgerDecision.ANSWERED, entry.status, entry.headers, entry.body)
     return LedgerGrant(LedgerDecision.UNKNOWN)
--- a/src/cranklane/node/__init__.py
+++ b/src/cranklane/node/__init__.py
@@ -1,1 +1,1 @@
-"""The process beside each worker, and the edge where outside clients enter."""
+"""Node process: runs beside a worker, or as an edge that accepts external clients."""
--- a/src/cranklane/node/admin.py
+++ b/src/cranklane/node/admin.py
@@ -1,7 +1,4 @@
-"""The node's own HTTP address for operators: metrics, status and drain.
-
-Owns nothing; it reads what :class:`AdminView` gives it.
-"""
+"""HTTP endpoint for operators: metrics, status and drain."""
 
 from __future__ import annotations
 
@@ -20,12 +17,12 @@
 
 @dataclass(frozen=True)
 class AdminView:
-    """What operators see of a node, and may ask of it.
+    """The parts of a node that operators can inspect or control.
 
     :ivar service: full name of the worker's service; empty at an edge.
-    :ivar state: returns the node's own state.
-    :ivar control_connected: returns whether control is connected.
-    :ivar drain: makes the node take no new calls for its worker.
+    :ivar state: returns the node's member state.
+    :ivar control_connected: returns whether a control process is connected.
+    :ivar drain: makes the node refuse new calls for its worker.
     """
 
     service: str
@@ -39,7 +36,7 @@
 
 
 class Admin:
-    """The WSGI application; to be bound to an address that only operators reach."""
+    """WSGI application of the admin endpoint; bind it to an address only operators can reach."""
 
     def __init__(self, view: AdminView) -> None:
         self._view = view
@@ -74,7 +71,7 @@
         }
 
     def on_post_drain(self, _request: falcon.Request, response: falcon.Response) -> None:
-        """Take no new calls for the worker."""
+        """Start draining: refuse new calls for the worker."""
         self._view.drain()
         response.media = {"state": self._state_name()}
 
--- a/src/cranklane/node/admission.py
+++ b/src/cranklane/node/admission.py
@@ -1,9 +1,8 @@
-"""Admits calls to the worker: each gets a slot, waits for one, or is refused.
+"""Admission control for the worker: each call gets a slot, is queued, or is refused.
 
-Owns the exact count of calls in the worker and the queue before it. Relies on
-:mod:`~cranklane.node.admission_rule` for the decisions, on
-:mod:`~cranklane.node.fair_queue` for the order of those that wait, and on
-:mod:`~cranklane.node.concurrency` for how many run at once.
+Counts the calls in the worker. :mod:`~cranklane.node.admission_rule` decides on refusals,
+:mod:`~cranklane.node.fair_queue` orders the queued calls, and
+:mod:`~cranklane.node.concurrency` limits the calls that run concurrently.
 """
 
 from __future__ import annotations
@@ -17,27 +16,27 @@
 from result import Err, Ok, Result
 
 from cranklane.node import retry_after
-from cranklane.node.admission_rule import expected_wait, is_overloaded, refusal_at_once
+from cranklane.node.admission_rule import expected_wait, immediate_refusal, is_overloaded
 from cranklane.node.concurrency import ConcurrencyLimit
-from cranklane.node.fair_queue import FairQueue, Waiting
-from cranklane.node.refusal_memory import RefusalMemory
+from cranklane.node.fair_queue import FairQueue, QueuedCall
+from cranklane.node.recent_refusals import RecentRefusals
 from cranklane.outcome import Criticality, Reason
 
 DEFAULT_SLOTS = 8
-"""Calls that run at once before the first configuration. A choice: a small worker's."""
+"""Concurrent calls allowed before the first configuration arrives."""
 
 DEFAULT_QUEUE_SIZE = 64
-"""Calls that may wait before the first configuration. A choice: eight for each slot."""
+"""Queued calls allowed before the first configuration arrives."""
 
 OnWait = Callable[[Callable[[Reason], Any]], Any]
-"""Takes a function that withdraws the call while it waits, for the reason given to it."""
+"""Receives a function that removes the queued call, with the reason as its argument."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a call does not run.
+    """A refused call.
 
-    :ivar retry_after_ms: milliseconds after which it may be retried; 0 states none.
+    :ivar retry_after_ms: milliseconds before a retry; 0 when the refusal states no delay.
     """
 
     reason: Reason
@@ -46,23 +45,23 @@
 
 @dataclass(slots=True, eq=False)
 class Slot:
-    """One of the worker's slots, taken by a call until released.
+    """One of the worker's slots, held by a call until released.
 
-    :ivar since: monotonic second at which it was taken.
+    :ivar acquired_at: monotonic second at which the call got the slot.
     """
 
     tenant: str
     criticality: Criticality
-    since: float
+    acquired_at: float
 
 
 class Admission:
-    """Exact count of calls in the worker, and the queue before it.
+    """Slots and queue of one worker.
 
-    :param clock: monotonic seconds.
-    :param share_of: returns a tenant's weight against others.
+    :param clock: returns monotonic seconds.
+    :param share_of: returns a tenant's weight.
     :ivar in_flight: calls in the worker.
-    :ivar draining: when True every new call is refused.
+    :ivar draining: True to refuse every new call.
     """
 
     def __init__(
@@ -76,24 +75,24 @@
         self._queue_size = DEFAULT_QUEUE_SIZE
         self._in_flight: dict[str, int] = {}
         self._last_empty = clock()
-        self._refusals = RefusalMemory(clock)
+        self._refusals = RecentRefusals(clock)
         self.concurrency = ConcurrencyLimit(DEFAULT_SLOTS)
         self.in_flight = 0
         self.draining = False
 
     def configure(self, slots: int, queue_size: int) -> None:
-        """Take new limits; calls that wait or run are not touched."""
+        """Set new limits; queued and running calls continue."""
         self.concurrency.set_slots(slots)
         self._queue_size = queue_size
         self._start_waiting()
 
     @property
     def queued(self) -> int:
-        """Calls that wait now."""
+        """Number of queued calls."""
         return self._queue.size
 
     def expected_wait(self) -> float:
-        """Return the seconds a new call would wait, of any tenant."""
+        """Return the estimated queueing delay of a new call in seconds, for any tenant."""
         if self.in_flight < self.concurrency.limit:
             return 0.0
         return expected_wait(
@@ -107,15 +106,17 @@
         deadline: float,
         on_wait: OnWait | None = None,
     ) -> Result[Slot, Refusal]:
-        """Return a slot, waiting for one if need be, or a refusal.
+        """Return a slot or a refusal; block while the call is queued.
 
-        :param deadline: monotonic second after which nobody waits.
-        :param on_wait: called once the call waits.
+        :param deadline: the call's deadline in monotonic seconds.
+        :param on_wait: called when the call has been queued.
         """
         now = self._clock()
         free = self.in_flight < self.concurrency.limit and not self._queue.size
-        wait = None if free else self._wait_for(tenant, criticality)
-        reason = refusal_at_once(self.draining, deadline - now, wait, self.concurrency.likely_time)
+        wait = None if free else self._tenant_wait(tenant, criticality)
+        reason = immediate_refusal(
+            self.draining, deadline - now, wait, self.concurrency.likely_service_time
+        )
         if reason is Reason.DRAINING:
             return Err(Refusal(reason, retry_after.DRAINING_MS))
         if reason is Reason.DEADLINE_PASSED:
@@ -125,18 +126,18 @@
         if free:
             self._last_empty = now
             return Ok(self._occupy(tenant, criticality))
-        return self._wait(tenant, criticality, deadline, on_wait)
-
-    def _wait_for(self, tenant: str, criticality: Criticality) -> float:
-        """Return the seconds a new call waits, given its tenant's share of the slots."""
-        others = [name for name in self._queue.tenants() if name != tenant]
-        own = self._share_of(tenant)
-        total = own + sum(self._share_of(name) for name in others)
-        slots = max(1.0, self.concurrency.limit * own / total)
+        return self._wait_for_slot(tenant, criticality, deadline, on_wait)
+
+    def _tenant_wait(self, tenant: str, criticality: Criticality) -> float:
+        """Return a new call's estimated queueing delay in seconds, on its tenant's slots."""
+        competing = [name for name in self._queue.tenants() if name != tenant]
+        share = self._share_of(tenant)
+        total = share + sum(self._share_of(name) for name in competing)
+        slots = max(1.0, self.concurrency.limit * share / total)
         ahead = self._queue.ahead_of(tenant, criticality)
         return expected_wait(ahead, self.concurrency.service_time, slots)
 
-    def _wait(
+    def _wait_for_slot(
         self,
         tenant: str,
         criticality: Criticality,
@@ -144,7 +145,7 @@
         on_wait: OnWait | None,
     ) -> Result[Slot, Refusal]:
         settled: AsyncResult = AsyncResult()
-        call = Waiting(tenant, criticality, deadline, self._clock(), settled.set)
+        call = QueuedCall(tenant, criticality, deadline, self._clock(), settled.set)
         if self._queue.size >= self._queue_size and not self._evict_for(call):
             return Err(self._refuse(tenant, criticality, Reason.QUEUE_FULL))
         self._queue.add(call)
@@ -153,21 +154,21 @@
         try:
             reason = settled.get(timeout=deadline - self._clock())
         except gevent.Timeout:
-            # A slot given in the same moment stands: whoever takes the call out
-            # of the queue decides.
+            # The call may have got a slot or a refusal at the same moment. Whichever code
+            # removes it from the queue sets the result.
             self._withdraw(call, Reason.DEADLINE_PASSED)
             reason = settled.get()
         if reason is Reason.NONE:
             return Ok(Slot(tenant, criticality, self._clock()))
         return Err(self._refuse(tenant, criticality, reason))
 
-    def _evict_for(self, newcomer: Waiting) -> bool:
-        victim = self._queue.victim(newcomer, self._in_flight)
+    def _evict_for(self, new_call: QueuedCall) -> bool:
+        victim = self._queue.victim(new_call, self._in_flight)
         if victim is None:
             return False
         return self._withdraw(victim, Reason.QUEUE_EVICTED)
 
-    def _withdraw(self, call: Waiting, reason: Reason) -> bool:
+    def _withdraw(self, call: QueuedCall, reason: Reason) -> bool:
         if not self._queue.remove(call):
             return False
         call.settle(reason)
@@ -175,11 +176,11 @@
 
     def _refuse(self, tenant: str, criticality: Criticality, reason: Reason) -> Refusal:
         if reason is not Reason.CANCELLED:
-            self._refusals.refused(tenant, criticality)
-        return Refusal(reason, retry_after.after_queue(self._wait_for(tenant, criticality)))
+            self._refusals.record(tenant, criticality)
+        return Refusal(reason, retry_after.after_queue(self._tenant_wait(tenant, criticality)))
 
     def refused_below(self, tenant: str) -> int:
-        """Return one more than the highest criticality refused lately, or 0."""
+        """Return one more than the highest criticality recently refused to a tenant, or 0."""
         return self._refusals.refused_below(tenant)
 
     def _occupy(self, tenant: str, criticality: Criticality) -> Slot:
@@ -191,18 +192,18 @@
         self._in_flight[tenant] = self._in_flight.get(tenant, 0) + 1
 
     def release(self, slot: Slot, ran: bool) -> None:
-        """Give a slot back and start the next waiting call.
+        """Release a slot and start the next queued calls.
 
-        :param ran: whether the worker ran the call, so that its time counts.
+        :param ran: whether the worker ran the call; if so, its service time is recorded.
         """
         self.in_flight -= 1
-        left = self._in_flight[slot.tenant] - 1
-        if left:
-            self._in_flight[slot.tenant] = left
+        tenant_in_flight = self._in_flight[slot.tenant] - 1
+        if tenant_in_flight:
+            self._in_flight[slot.tenant] = tenant_in_flight
         else:
             del self._in_flight[slot.tenant]
         if ran:
-            self.concurrency.finished(self._clock() - slot.since)
+            self.concurrency.finished(self._clock() - slot.acquired_at)
         self._start_waiting()
 
     def _start_waiting(self) -> None:
@@ -214,7 +215,7 @@
             call = self._queue.take(self._in_flight, newest_first)
             if call is None:
                 return
-            if call.deadline <= now + self.concurrency.likely_time:
+            if call.deadline <= now + self.concurrency.likely_service_time:
                 call.settle(Reason.DEADLINE_TOO_NEAR)
                 continue
             self._count(call.tenant)
--- a/src/cranklane/node/admission_rule.py
+++ b/src/cranklane/node/admission_rule.py
@@ -1,8 +1,7 @@
-"""Decides which calls are refused at once, and how long a call would wait.
+"""Rules for refusing a call without queueing it, and the estimate of its queueing delay.
 
-Owns the rules and their constants; :mod:`~cranklane.node.admission` keeps the counts that
-they take. The sidecar's rules (:mod:`~cranklane.sidecar.admission`) are others: there the
-caller's sidecar states how long a request may wait for a slot, here its deadline bounds it.
+A call may wait in the queue as long as its deadline allows.
+:mod:`~cranklane.node.admission` keeps the counts that the rules take.
 """
 
 from __future__ import annotations
@@ -10,52 +9,51 @@
 from cranklane.outcome import Reason
 
 OVERLOADED_AFTER_SECONDS = 0.2
-"""Seconds without an empty queue after which the newest call goes first. A choice: several
-service times, so that a short burst is served in its order."""
+"""Seconds without an empty queue after which the newest call goes first. Several service
+times, so that a short burst is served in order of arrival."""
 
 
-def refusal_at_once(
-    draining: bool, remaining: float, wait: float | None, likely_time: float
+def immediate_refusal(
+    draining: bool, remaining: float, wait: float | None, likely_service_time: float
 ) -> Reason | None:
-    """Return why a call is refused without waiting for a slot, or None.
+    """Return the reason to refuse a call without queueing it, or None.
 
-    :param draining: whether the node takes no new calls.
+    :param draining: whether the node is draining.
     :param remaining: seconds until the call's deadline.
-    :param wait: seconds the call would wait for a slot; None when one is free.
-    :param likely_time: seconds within which most calls are done in the worker.
+    :param wait: estimated queueing delay in seconds; None when a slot is free.
+    :param likely_service_time: seconds within which the worker finishes most calls.
 
-    >>> refusal_at_once(False, 1.0, 0.8, 0.3)
+    >>> immediate_refusal(False, 1.0, 0.8, 0.3)
     <Reason.DEADLINE_TOO_NEAR: 3>
-    >>> refusal_at_once(False, 1.0, None, 2.0) is None
+    >>> immediate_refusal(False, 1.0, None, 2.0) is None
     True
     """
     if draining:
-        # The worker leaves; another member takes the call.
+        # Another member can run the call.
         return Reason.DRAINING
     if remaining <= 0:
-        # Nobody waits any more.
         return Reason.DEADLINE_PASSED
     if wait is None:
-        # A free slot is not left idle, even when the call may take too long.
+        # Use a free slot even if the call may miss its deadline: the slot would be idle.
         return None
-    if wait + likely_time > remaining:
-        # It would be done too late: run, it would only waste a slot.
+    if wait + likely_service_time > remaining:
+        # The call would miss its deadline and waste a slot.
         return Reason.DEADLINE_TOO_NEAR
     return None
 
 
 def expected_wait(ahead: int, service_time: float, slots: float) -> float:
-    """Return the seconds until a slot is free for a call.
+    """Return the estimated seconds until a call gets a slot.
 
-    :param ahead: calls that go before it.
-    :param service_time: seconds that a call takes in the worker.
+    :param ahead: queued calls that go before it.
+    :param service_time: mean seconds a call takes in the worker.
     :param slots: slots that these calls share.
     """
     return (ahead + 1) * service_time / slots
 
 
 def is_overloaded(now: float, last_empty: float) -> bool:
-    """Return whether the newest call goes first: an old one has little time left.
+    """Return whether to serve the newest call first, as old ones are close to their deadlines.
 
     :param last_empty: monotonic second at which the queue was last empty.
     """
--- a/src/cranklane/node/allowance.py
+++ b/src/cranklane/node/allowance.py
@@ -1,20 +1,19 @@
-"""Bounds the retries that one root request causes, over its whole call tree.
+"""Limits the retries that one root request causes across its call tree.
 
-Owns the count of one call. The other bound, over all calls to a service, is
-:mod:`~cranklane.node.retry_budget`.
+:mod:`~cranklane.node.retry_budget` limits the retries of all calls to one service.
 """
 
 from __future__ import annotations
 
 
 class Allowance:
-    """One call's share of the root request's retries.
+    """One call's part of the root request's retries.
 
-    The sum over the whole tree never grows: a retry spends from it, a child call
-    takes some of it, and what the child did not use is returned with its answer. What
-    was given to a child whose answer is lost stays spent.
+    The sum over the call tree never grows. A retry spends one; a child call is granted some
+    and returns the unused ones with its answer. If that answer is lost, the granted retries
+    stay spent.
 
-    :ivar remaining: retries this call and its future children may still cause.
+    :ivar remaining: retries left for this call and its future child calls.
 
     >>> allowance = Allowance(3)
     >>> allowance.grant(), allowance.remaining
@@ -30,17 +29,17 @@
         self.remaining = remaining
 
     def grant(self) -> int:
-        """Take the larger half for a child call; parallel children split the rest."""
+        """Grant a child call half of the retries, rounded up; later child calls share the rest."""
         granted = (self.remaining + 1) // 2
         self.remaining -= granted
         return granted
 
     def give_back(self, unused: int) -> None:
-        """Return what a child call did not use."""
+        """Add the retries that a child call did not use."""
         self.remaining += unused
 
     def spend(self) -> bool:
-        """Take one retry; return False when none is left."""
+        """Spend one retry; return False if none is left."""
         if self.remaining < 1:
             return False
         self.remaining -= 1
--- a/src/cranklane/node/answer.py
+++ b/src/cranklane/node/answer.py
@@ -1,4 +1,4 @@
-"""The types of a call to make and of its answer."""
+"""Data types of an outbound call and its answer."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from cranklane.outcome import Outcome, Reason
 
 
-class AnswerBodyLike(Protocol):
-    """Pieces of a body, to be read to the end or closed."""
+class AnswerBodyStream(Protocol):
+    """Body as an iterator of chunks; read it to the end or close it."""
 
     @property
-    def is_whole(self) -> bool:
-        """Whether reading it does not wait any more."""
+    def is_complete(self) -> bool:
+        """Whether the whole body has arrived, so that reading does not block."""
 
     def __iter__(self) -> Iterator[bytes]: ...
 
     def close(self) -> None:
-        """End the call; an answer not read whole is cancelled."""
+        """End the call; cancel it if the answer was not read to the end."""
 
 
 class EmptyBody:
-    """The body of an answer without one."""
+    """Empty body of an answer."""
 
-    is_whole = True
+    is_complete = True
 
     def __iter__(self) -> Iterator[bytes]:
         return iter(())
@@ -36,11 +36,11 @@
 
 @dataclass(slots=True)
 class Request:
-    """One call to make.
+    """An outbound call.
 
     :ivar caller: full name of the calling service, or ``tenant.edge``.
-    :ivar path: with its query.
-    :ivar key: the idempotency key, or empty.
+    :ivar path: path including the query.
+    :ivar key: idempotency key, or empty.
     """
 
     tenant: str
@@ -54,32 +54,32 @@
 
     @property
     def target(self) -> tuple[str, str, str]:
-        """What makes two child calls of one request the same call."""
+        """Identity of the call among the child calls of one parent call."""
         return (f"{self.tenant}.{self.service}", f"{self.method} {self.path}", self.key)
 
 
 @dataclass(slots=True)
 class Answer:
-    """How a call ended.
+    """Result of a call.
 
-    :ivar body: pieces of the body; raises AnswerCutError when it is not whole.
-        To be read to its end or closed.
-    :ivar retry_after_ms: milliseconds after which a refused call may be retried; 0 states none.
-    :ivar attempts: attempts made, the first included.
+    :ivar body: iterator of chunks that raises AnswerCutError when the body is truncated.
+        Read it to the end or close it.
+    :ivar retry_after_ms: milliseconds before a retry of a refused call; 0 for no stated delay.
+    :ivar attempts: number of attempts, including the first.
     """
 
     outcome: Outcome
     reason: Reason = Reason.NONE
     status: int = 0
     headers: list[tuple[str, str]] = field(default_factory=list)
-    body: AnswerBodyLike = field(default_factory=EmptyBody)
+    body: AnswerBodyStream = field(default_factory=EmptyBody)
     retry_after_ms: int = 0
     attempts: int = 0
 
 
-def refused(reason: Reason, retry_after_ms: int = 0) -> Answer:
+def refused_answer(reason: Reason, retry_after_ms: int = 0) -> Answer:
     """Return the answer of a call that was not run.
 
-    :param retry_after_ms: milliseconds after which it may be retried; 0 states none.
+    :param retry_after_ms: milliseconds before a retry; 0 for no stated delay.
     """
     return Answer(Outcome.NOT_RUN, reason, retry_after_ms=retry_after_ms)
--- a/src/cranklane/node/answer_stream.py
+++ b/src/cranklane/node/answer_stream.py
@@ -1,7 +1,7 @@
-"""Sends the answers of inbound calls as records: a head, pieces of the body, an end.
+"""Sends the answers of inbound calls as records: a head, body chunks and an end.
 
-The end states length and checksum, so that :mod:`~cranklane.node.peer_call` never takes an
-answer that was cut for a whole one.
+The end holds length and checksum of the body, by which :mod:`~cranklane.node.peer_call`
+detects truncated answers.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from cranklane.records.messages import AnswerAbort, AnswerBody, AnswerEnd, AnswerHead
 
 
-def passed_on(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Return a worker's headers without those of its connection and the product's own.
+def forwarded_headers(headers: Iterable[tuple[str, str]]) -> list[tuple[str, str]]:
+    """Return a worker's headers without the hop-by-hop and cranklane ones.
 
-    >>> passed_on([("Content-Type", "text/plain"), ("Connection", "close")])
+    >>> forwarded_headers([("Content-Type", "text/plain"), ("Connection", "close")])
     [('Content-Type', 'text/plain')]
     """
     return [
@@ -31,10 +31,10 @@
     ]
 
 
-def send_whole(call: InboundCall, head: AnswerHead, body: bytes) -> None:
-    """Send an answer whose whole body is known.
+def send_complete(call: InboundCall, head: AnswerHead, body: bytes) -> None:
+    """Send an answer whose body is complete.
 
-    :raises ConnectionLostError: when the caller is gone.
+    :raises ConnectionLostError: when the connection to the caller is lost.
     """
     call.queue(head)
     if body:
@@ -49,10 +49,10 @@
     body: Iterable[bytes],
     metrics: NodeMetrics,
 ) -> None:
-    """Send a worker's answer while its body comes; an answer cut short is aborted.
+    """Send a worker's answer while its body arrives; abort the answer if it is truncated.
 
-    :param body: pieces of the response's body, those read before included.
-    :raises ConnectionLostError: when the caller is gone.
+    :param body: all chunks of the response's body, including those already read.
+    :raises ConnectionLostError: when the connection to the caller is lost.
     """
     call.queue(head)
     sequence = length = checksum = 0
--- a/src/cranklane/node/attempt.py
+++ b/src/cranklane/node/attempt.py
@@ -1,8 +1,7 @@
 """Makes one attempt of a call: chooses a member, sends the call, waits for the answer's head.
 
-Owns nothing beyond the attempt. Relies on :mod:`~cranklane.node.balancer` for the choice,
-on :mod:`~cranklane.node.peers` for connections, and reports to
-:mod:`~cranklane.node.members` how it went.
+:mod:`~cranklane.node.balancer` chooses the member, :mod:`~cranklane.node.peers` provides the
+connection, and :mod:`~cranklane.node.members` records the result.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 from cranklane.common.units import MILLISECONDS
 from cranklane.errors import ConnectionLostError
 from cranklane.node import retry_after
-from cranklane.node.answer import Answer, Request, refused
+from cranklane.node.answer import Answer, Request, refused_answer
 from cranklane.node.balancer import Balancer
 from cranklane.node.context import CallContext
 from cranklane.node.members import MemberTable, MemberView, RefusalReport
@@ -27,26 +26,26 @@
 from cranklane.records.messages import AnswerHead, CallOpen
 from cranklane.runtime.interface import Runtime
 
-STALL_SECONDS = 30.0
-"""Seconds without any piece of an answer's body after which it counts as cut. A choice: as
-long as the answering node waits for a caller that takes no bytes."""
+BODY_STALL_SECONDS = 30.0
+"""Seconds without a body chunk after which the answer counts as truncated. As long as the
+answering node waits for flow-control credit."""
 
 _MEMBER_FAULTS = frozenset(
     {Reason.PEER_LOST, Reason.PEER_UNREACHABLE, Reason.WORKER_UNREACHABLE, Reason.DEADLINE_PASSED}
 )
-"""Reasons that count as failures of the member."""
+"""Refusal reasons that count as failures of the member."""
 
 
 @dataclass(slots=True)
 class OutboundCall:
-    """One call on its way, over all its attempts.
-
-    :ivar context: what the call inherits.
-    :ivar criticality: in force for it: the route's, or the root request's.
-    :ivar attempts: attempts that reached a member.
-    :ivar redirects: attempts made up for, as the destination did not take the call.
-    :ivar maybe_ran: whether a worker may have started the work, in any attempt.
-    :ivar tried: names of the members tried.
+    """State of one outbound call across its attempts.
+
+    :ivar context: context of the parent call.
+    :ivar criticality: effective criticality: the route's, or the root request's.
+    :ivar attempts: attempts for which a connection to a member was available.
+    :ivar redirects: attempts that followed a refusal without spending a retry.
+    :ivar maybe_ran: whether a worker may have run the call in any attempt.
+    :ivar tried_nodes: names of the members tried.
     """
 
     context: CallContext
@@ -57,13 +56,13 @@
     attempts: int = 0
     redirects: int = 0
     maybe_ran: bool = False
-    tried: set[str] = field(default_factory=set)
+    tried_nodes: set[str] = field(default_factory=set)
 
 
 class AttemptSender:
-    """Makes attempts for the calls of one node.
+    """Makes the attempts of a node's outbound calls.
 
-    :param on_eject: called with a member whose failure has just ejected it.
+    :param on_eject: called with a member when a failure ejects it.
     """
 
     def __init__(
@@ -83,34 +82,34 @@
         self._on_eject = on_eject
 
     def attempt(self, call: OutboundCall) -> Answer:
-        """Make one attempt; return how it ended, with the answer's body still on its way."""
+        """Make one attempt and return its answer; the body may still be arriving."""
         member = self._choose(call)
         if member is None:
-            return refused(Reason.NO_MEMBERS, retry_after.DEFAULT_MS)
-        call.tried.add(member.node)
+            return refused_answer(Reason.NO_MEMBERS, retry_after.DEFAULT_MS)
+        call.tried_nodes.add(member.node)
         context = call.context
         remaining = context.deadline - self._runtime.monotonic()
         if remaining <= 0:
-            return refused(Reason.DEADLINE_PASSED)
+            return refused_answer(Reason.DEADLINE_PASSED)
         try:
             connection = self._peers.connection(member, remaining)
         except ConnectionLostError:
             self._count_failure(member)
-            return refused(Reason.PEER_UNREACHABLE)
+            return refused_answer(Reason.PEER_UNREACHABLE)
         call.attempts += 1
         granted = context.allowance.grant() if call.service.calls_others else 0
         try:
             sent = connection.open(self._record(call, granted))
         except ConnectionLostError:
             context.allowance.give_back(granted)
-            return refused(Reason.PEER_UNREACHABLE)
+            return refused_answer(Reason.PEER_UNREACHABLE)
         return self._await_answer(context, member, sent)
 
     def _choose(self, call: OutboundCall) -> MemberView | None:
         members = self._members.of(call.service.tenant, call.service.name)
-        member = self._balancer.choose(members, frozenset(call.tried))
-        if member is None and call.tried:
-            # All were tried: a second round beats giving up within the bounds.
+        member = self._balancer.choose(members, frozenset(call.tried_nodes))
+        if member is None and call.tried_nodes:
+            # Every member was tried: try one again, as retries are still allowed.
             member = self._balancer.choose(members)
         return member
 
@@ -139,8 +138,8 @@
     def _await_answer(self, context: CallContext, member: MemberView, call: PeerCall) -> Answer:
         started = self._runtime.monotonic()
         member.opened()
-        hook = context.on_cancel(call.cancel)
-        open_attempt = _OpenAttempt(context, member, call, hook)
+        cancel_hook = context.add_cancel_hook(call.cancel)
+        open_attempt = _OpenAttempt(context, member, call, cancel_hook)
         try:
             head = call.head(context.deadline - started)
         except gevent.Timeout:
@@ -185,42 +184,42 @@
 
 @dataclass(slots=True)
 class _OpenAttempt:
-    """What must be undone when an attempt ends, however it ends."""
+    """State of a sent attempt that must be released when the attempt ends."""
 
     context: CallContext
     member: MemberView
     call: PeerCall
-    hook: int
+    cancel_hook: int
     done: bool = False
 
     def finish(self, unused: int) -> None:
-        """End the attempt; ``unused`` is the allowance that came back."""
+        """End the attempt and add the ``unused`` retries to the call's allowance."""
         if self.done:
             return
         self.done = True
         self.call.close()
-        self.context.forget(self.hook)
+        self.context.remove_cancel_hook(self.cancel_hook)
         self.context.allowance.give_back(unused)
         self.member.closed()
 
 
 class _AnswerBody:
-    """The body of one attempt's answer; ends the attempt when read or closed."""
+    """Body of an attempt's answer; ends the attempt when read to the end or closed."""
 
     def __init__(self, open_attempt: _OpenAttempt) -> None:
         self._open_attempt = open_attempt
 
     @property
-    def is_whole(self) -> bool:
-        """Whether reading it does not wait any more."""
-        return self._open_attempt.call.is_whole
+    def is_complete(self) -> bool:
+        """Whether the whole body has arrived, so that reading does not block."""
+        return self._open_attempt.call.is_complete
 
     def __iter__(self) -> Iterator[bytes]:
         try:
-            yield from self._open_attempt.call.body(STALL_SECONDS)
+            yield from self._open_attempt.call.body(BODY_STALL_SECONDS)
         finally:
             self.close()
 
     def close(self) -> None:
-        """End the attempt; an answer not read whole is cancelled."""
+        """End the attempt; cancel it if the answer was not read to the end."""
         self._open_attempt.finish(self._open_attempt.call.unused_allowance)
--- a/src/cranklane/node/balancer.py
+++ b/src/cranklane/node/balancer.py
@@ -1,8 +1,7 @@
-"""Chooses the node that gets a call.
+"""Load balancing: chooses the destination node of an attempt.
 
-Owns the rule and its constants; relies on :mod:`~cranklane.node.ejection` for who is left
-out. The sidecar chooses by another rule (:mod:`~cranklane.sidecar.routing.worker_choice`): it
-also weighs a worker's health and the cost of another zone.
+:mod:`~cranklane.node.ejection` excludes failing members. The sidecar's balancer is
+:mod:`~cranklane.sidecar.routing.worker_choice`.
 """
 
 from __future__ import annotations
@@ -15,30 +14,31 @@
 from cranklane.node.members import MemberView
 
 SLOW_START_SECONDS = 10.0
-"""Seconds until a member new to this node counts as warm. A choice: caches and connection
-pools of a worker fill within seconds."""
+"""Seconds after which a new member gets its full share of calls. Long enough for a worker to
+fill its caches and connection pools."""
 
 MIN_WARMTH = 0.1
-"""Warmth of a member that has just come: its load counts ten times. A choice: it gets some
-calls at once, so that it can warm up."""
+"""Initial warmth of a new member, by which its load is divided. Above zero, so that the member
+gets some calls to warm up with."""
 
-SPILL_LOAD = 1.0
-"""Calls for each slot in the own zone from which other zones are used too. A choice: at 1
-every member there has all its slots taken."""
+SPILLOVER_LOAD = 1.0
+"""Calls per slot of the least loaded local member above which other zones are used too. At 1.0
+every local slot is taken."""
 
 IDLE_LOAD = 0.01
-"""Added to each load, so that warmth tells idle members apart. A choice: far below the load
-of one call."""
+"""Added to each load, so that idle members are ranked by warmth. Far below the load of one
+call."""
 
 
 class Balancer:
-    """Less loaded of two random members, in the own zone while that has capacity.
+    """Chooses the less loaded of two random members, in the local zone while it has capacity.
 
-    Members are new to a process that has just started; all those that it first sees within
-    :data:`SLOW_START_SECONDS` of its own start count as warm.
+    New members are warmed up with fewer calls. Members first seen within
+    :data:`SLOW_START_SECONDS` of this process's start count as warm, because the process
+    cannot know their age.
 
-    :param clock: monotonic seconds.
-    :param zone: the own zone.
+    :param clock: returns monotonic seconds.
+    :param zone: the local zone.
     """
 
     def __init__(self, clock: Callable[[], float], random: Random, zone: str) -> None:
@@ -50,7 +50,7 @@
     def choose(
         self, members: Sequence[MemberView], excluded: frozenset[str] = frozenset()
     ) -> MemberView | None:
-        """Return the member for the next attempt, or None when there is none.
+        """Return the member for the next attempt, or None if none is available.
 
         :param excluded: names of members already tried for this call.
         """
@@ -62,12 +62,12 @@
         candidates = without_ejected(live, self._clock())
         if not candidates:
             return None
-        near = [member for member in candidates if member.zone == self._zone]
-        if near and min(member.load() for member in near) < SPILL_LOAD:
-            candidates = near
-        return self._better_of_two(candidates)
+        local_members = [member for member in candidates if member.zone == self._zone]
+        if local_members and min(member.load() for member in local_members) < SPILLOVER_LOAD:
+            candidates = local_members
+        return self._less_loaded_of_two(candidates)
 
-    def _better_of_two(self, candidates: Sequence[MemberView]) -> MemberView:
+    def _less_loaded_of_two(self, candidates: Sequence[MemberView]) -> MemberView:
         if len(candidates) == 1:
             return candidates[0]
         first, second = self._random.sample(candidates, 2)
--- a/src/cranklane/node/call_runner.py
+++ b/src/cranklane/node/call_runner.py
@@ -1,8 +1,7 @@
-"""Admits inbound calls, runs them in the worker and answers them.
+"""Admits inbound calls, runs them in the worker and sends their answers.
 
-Owns nothing but the call at hand. Relies on :mod:`~cranklane.node.admission` for a slot, on
-:mod:`~cranklane.node.once` for calls that may run only once, and on
-:mod:`~cranklane.node.worker` for the run.
+:mod:`~cranklane.node.admission` assigns slots, :mod:`~cranklane.node.once` guards calls that
+may run only once, and :mod:`~cranklane.node.worker` sends calls to the worker.
 """
 
 from __future__ import annotations
@@ -15,29 +14,29 @@
 
 from cranklane.common.http_client import HttpResponse
 from cranklane.errors import AnswerCutError
-from cranklane.ledger.store import MAX_STORED_BODY
+from cranklane.ledger.store import MAX_STORED_BODY_BYTES
 from cranklane.node import retry_after
 from cranklane.node.admission import Admission, Refusal, Slot
-from cranklane.node.answer_stream import passed_on, send_stream, send_whole
+from cranklane.node.answer_stream import forwarded_headers, send_complete, send_stream
 from cranklane.node.context import ContextTable
 from cranklane.node.inbound_call import InboundCall
 from cranklane.node.load import answer_head, refusal_head
 from cranklane.node.metrics import NodeMetrics
-from cranklane.node.once import OnceCalls, OnceRefusal, OnceTicket
-from cranklane.node.own_service import OwnService
+from cranklane.node.once import OnceCalls, OnceLease, OnceRefusal
 from cranklane.node.worker import WorkerClient, WorkerFailure
+from cranklane.node.worker_service import WorkerService
 from cranklane.outcome import Outcome, Reason, Repeat
 from cranklane.records.messages import AnswerHead
 from cranklane.runtime.interface import Runtime
 
 
 class CallRunner:
-    """Runs calls in the node's own worker."""
+    """Runs inbound calls in the node's worker."""
 
     def __init__(
         self,
         runtime: Runtime,
-        service: OwnService,
+        service: WorkerService,
         admission: Admission,
         worker: WorkerClient,
         contexts: ContextTable,
@@ -53,9 +52,9 @@
         self._metrics = metrics
 
     def run(self, call: InboundCall) -> None:
-        """Admit a call, run it and answer it, or refuse it.
+        """Admit and run a call and send its answer, or refuse it.
 
-        :raises ConnectionLostError: when the caller is gone.
+        :raises ConnectionLostError: when the connection to the caller is lost.
         """
         context = call.context
         admitted = self._admit(call)
@@ -75,16 +74,16 @@
             self._admission.release(slot, ran)
 
     def _admit(self, call: InboundCall) -> Result[Slot, Refusal]:
-        reason = self._service.misdirected(call.message)
+        reason = self._service.rejection_reason(call.message)
         if reason is not None:
             return Err(Refusal(reason))
         context = call.context
         started = self._runtime.monotonic()
         admitted = self._admission.admit(
-            context.tenant, context.criticality, context.deadline, on_wait=context.on_cancel
+            context.tenant, context.criticality, context.deadline, on_wait=context.add_cancel_hook
         )
         if isinstance(admitted, Ok):
-            self._metrics.queued(self._runtime.monotonic() - started)
+            self._metrics.observe_queue_wait(self._runtime.monotonic() - started)
         return admitted
 
     def _refuse(self, call: InboundCall, outcome: Outcome, refusal: Refusal) -> None:
@@ -98,19 +97,19 @@
         return self._run_once(call)
 
     def _run_once(self, call: InboundCall) -> bool:
-        """Run a call under the ledger; return whether the worker ran it."""
+        """Run a once-call if the ledger grants it; return whether the worker ran it."""
         remaining = call.context.deadline - self._runtime.monotonic()
-        begun = self._once.begin(call.message, self._service.ledgers, remaining)
-        if isinstance(begun, Err):
-            self._answer_without_run(call, begun.err_value)
+        granted = self._once.begin(call.message, self._service.ledgers, remaining)
+        if isinstance(granted, Err):
+            self._answer_without_run(call, granted.err_value)
             return False
-        # From here on it runs to its end, so that a resend gets its answer.
+        # Run it to its end even if the caller leaves, so that a resend gets the stored answer.
         call.detached = True
-        ticket = begun.ok_value
+        lease = granted.ok_value
         try:
-            return self._run_in_worker(call, ticket)
+            return self._run_in_worker(call, lease)
         finally:
-            ticket.finish(Outcome.UNKNOWN)
+            lease.finish(Outcome.UNKNOWN)
 
     def _answer_without_run(self, call: InboundCall, refusal: OnceRefusal) -> None:
         self._metrics.event(f"once_{refusal.reason.label}")
@@ -120,26 +119,26 @@
         head = answer_head(self._admission, call.context.tenant, Outcome.ANSWERED)
         head.status = refusal.stored.status
         head.headers = refusal.stored.headers
-        send_whole(call, head, refusal.stored.body)
+        send_complete(call, head, refusal.stored.body)
 
-    def _run_in_worker(self, call: InboundCall, ticket: OnceTicket | None) -> bool:
+    def _run_in_worker(self, call: InboundCall, lease: OnceLease | None) -> bool:
         context = call.context
         started = self._runtime.monotonic()
         result = self._worker.run(
-            call.message, context.token, context.deadline - started, _start_check(call, ticket)
+            call.message, context.token, context.deadline - started, _start_check(call, lease)
         )
         if isinstance(result, Err):
-            if ticket is not None:
-                ticket.finish(result.err_value.outcome)
+            if lease is not None:
+                lease.finish(result.err_value.outcome)
             return self._worker_failed(call, result.err_value)
         response = result.ok_value
-        self._metrics.worker(self._runtime.monotonic() - started)
+        self._metrics.observe_worker_time(self._runtime.monotonic() - started)
         try:
-            if ticket is None:
+            if lease is None:
                 head = self._worker_head(call, response)
                 send_stream(call, head, response, response.body(), self._metrics)
             else:
-                self._store_and_send(call, response, ticket)
+                self._store_and_send(call, response, lease)
         finally:
             response.close()
         return True
@@ -157,44 +156,42 @@
     def _worker_head(self, call: InboundCall, response: HttpResponse) -> AnswerHead:
         head = answer_head(self._admission, call.context.tenant, Outcome.ANSWERED)
         head.status = response.status
-        head.headers = passed_on(response.headers)
+        head.headers = forwarded_headers(response.headers)
         return head
 
-    def _store_and_send(
-        self, call: InboundCall, response: HttpResponse, ticket: OnceTicket
-    ) -> None:
-        """Store an answer, when it is short enough, before its caller has it."""
+    def _store_and_send(self, call: InboundCall, response: HttpResponse, lease: OnceLease) -> None:
+        """Send an answer and store it in the ledger, unless its body is too long to store."""
         head = self._worker_head(call, response)
-        pieces: list[bytes] = []
-        stored = 0
+        chunks: list[bytes] = []
+        size = 0
         body = response.body()
         try:
             for data in body:
-                pieces.append(data)
-                stored += len(data)
-                if stored > MAX_STORED_BODY:
+                chunks.append(data)
+                size += len(data)
+                if size > MAX_STORED_BODY_BYTES:
                     break
             else:
-                ticket.finish(Outcome.ANSWERED, head.status, head.headers, b"".join(pieces))
+                lease.finish(Outcome.ANSWERED, head.status, head.headers, b"".join(chunks))
         except AnswerCutError:
             self._metrics.event("answer_cut")
             self._refuse(call, Outcome.UNKNOWN, Refusal(Reason.ANSWER_CUT))
             return
-        send_stream(call, head, response, chain(pieces, body), self._metrics)
+        send_stream(call, head, response, chain(chunks, body), self._metrics)
 
 
-def _start_check(call: InboundCall, ticket: OnceTicket | None) -> Callable[[Any], bool]:
-    """Return what is asked, with the connection, just before the first byte leaves."""
+def _start_check(call: InboundCall, lease: OnceLease | None) -> Callable[[Any], bool]:
+    """Return the check that :meth:`WorkerClient.run` makes before it sends the call."""
     context = call.context
 
     def may_start(connection: Any) -> bool:
         if context.cancelled is not None:
             return False
-        # A cancelled call closes the worker's connection, so that the worker notices.
-        context.on_cancel(lambda _reason: connection.close())
+        # On cancellation, close the connection so that the worker can stop.
+        context.add_cancel_hook(lambda _reason: connection.close())
         return True
 
     def may_start_once(_connection: Any) -> bool:
-        return context.cancelled is None and ticket is not None and ticket.may_start()
+        return context.cancelled is None and lease is not None and lease.may_start()
 
-    return may_start if ticket is None else may_start_once
+    return may_start if lease is None else may_start_once
--- a/src/cranklane/node/caller_answer.py
+++ b/src/cranklane/node/caller_answer.py
@@ -1,7 +1,4 @@
-"""Writes answers to callers over HTTP.
-
-Owns the body of an answer until the HTTP server has written it or given it up.
-"""
+"""Writes answers to callers as HTTP responses."""
 
 from __future__ import annotations
 
@@ -17,7 +14,7 @@
 
 
 class _Body:
-    """Hands an answer's body to the HTTP server and reports when it is done."""
+    """WSGI response body that calls ``on_close`` when the HTTP server closes it."""
 
     def __init__(self, answer: Answer, on_close: Callable[[], None]) -> None:
         self._answer = answer
@@ -27,7 +24,7 @@
         return iter(self._answer.body)
 
     def close(self) -> None:
-        """End the call, whole or not."""
+        """End the call, whether or not the body was written to its end."""
         self._answer.body.close()
         self._on_close()
 
@@ -38,19 +35,19 @@
     answer: Answer,
     on_close: Callable[[], None],
 ) -> None:
-    """Write a worker's answer; in one piece when all of it has come.
+    """Write a worker's answer; without streaming if its body is complete.
 
-    :param on_close: called when the body has been written or given up.
+    :param on_close: called when the body has been written or abandoned.
     """
     body = _Body(answer, on_close)
-    if answer.body.is_whole and request.method != "HEAD":
-        _write_whole(response, answer, body)
+    if answer.body.is_complete and request.method != "HEAD":
+        _write_complete(response, answer, body)
         return
     _write_head(response, answer)
     response.stream = body
 
 
-def _write_whole(response: falcon.Response, answer: Answer, body: _Body) -> None:
+def _write_complete(response: falcon.Response, answer: Answer, body: _Body) -> None:
     try:
         data = b"".join(body)
     except AnswerCutError:
@@ -73,7 +70,7 @@
 
 
 def write_refusal(response: falcon.Response, answer: Answer) -> None:
-    """Write the end of a call that no worker has answered."""
+    """Write the outcome of a call without a worker's answer."""
     status = status_of(answer.outcome, answer.reason)
     response.status = falcon.code_to_http_status(status)
     response.set_header(headers.OUTCOME, answer.outcome.label)
--- a/src/cranklane/node/caller_request.py
+++ b/src/cranklane/node/caller_request.py
@@ -1,7 +1,6 @@
-"""Reads callers' HTTP requests as calls to make.
+"""Parses callers' HTTP requests into outbound calls.
 
-A call's path is ``/TENANT/SERVICE/rest``; the rest, with its query, is what the
-called worker sees.
+A request's path is ``/TENANT/SERVICE/PATH``; the called worker gets ``/PATH`` with the query.
 """
 
 from __future__ import annotations
@@ -16,46 +15,44 @@
 from cranklane.outcome import Reason
 
 MAX_BODY_BYTES = 1024 * 1024
-"""Largest request body; kept in memory while the call may be retried. A choice: it
-bounds what one call costs in memory."""
+"""Largest request body; kept in memory for retries."""
 
-BODY_SECONDS = 10.0
-"""Seconds a caller has to send its request's body. A choice: the largest body at 100 KB a
-second."""
+BODY_TIMEOUT_SECONDS = 10.0
+"""Seconds a caller has to send its request's body."""
 
 _DROPPED_HEADERS = HOP_BY_HOP | {"host", "content-length", "authorization", "idempotency-key"}
 _PATH_PARTS = 4
-"""Parts of a path between slashes: nothing, tenant, service, rest."""
+"""Number of strings that the path is split into: empty, tenant, service, remaining path."""
 
 _BEARER = "bearer "
 
 
 def read_call(request: falcon.Request) -> Result[Request, Reason]:
-    """Return the call that a request asks for, its caller still unnamed, or why there is none."""
-    parts = request.path.split("/", _PATH_PARTS - 1)
-    if len(parts) < _PATH_PARTS:
+    """Return the requested call with an empty caller, or the reason for refusing the request."""
+    path_parts = request.path.split("/", _PATH_PARTS - 1)
+    if len(path_parts) < _PATH_PARTS:
         return Err(Reason.UNKNOWN_ROUTE)
     body = _read_body(request)
     if isinstance(body, Err):
         return Err(body.err_value)
-    path = "/" + parts[3]
+    path = "/" + path_parts[3]
     if request.query_string:
         path = f"{path}?{request.query_string}"
     return Ok(
         Request(
-            tenant=parts[1],
-            service=parts[2],
+            tenant=path_parts[1],
+            service=path_parts[2],
             caller="",
             method=request.method,
             path=path,
-            headers=_passed_on(request),
+            headers=_forwarded_headers(request),
             body=body.ok_value,
             key=request.get_header(headers.IDEMPOTENCY_KEY) or "",
         )
     )
 
 
-def _passed_on(request: falcon.Request) -> list[tuple[str, str]]:
+def _forwarded_headers(request: falcon.Request) -> list[tuple[str, str]]:
     return [
         (name.title(), value)
         for name, value in request.headers.items()
@@ -70,7 +67,7 @@
     if length is not None and length > MAX_BODY_BYTES:
         return Err(Reason.REQUEST_TOO_LARGE)
     try:
-        with gevent.Timeout(BODY_SECONDS):
+        with gevent.Timeout(BODY_TIMEOUT_SECONDS):
             body = request.stream.read(MAX_BODY_BYTES + 1 if length is None else length)
     except (gevent.Timeout, OSError, ValueError):
         return Err(Reason.BAD_REQUEST)
@@ -90,9 +87,9 @@
 
 
 def deadline_ms(request: falcon.Request, route_ms: int) -> int | None:
-    """Return the milliseconds a request has, or None when it states no number.
+    """Return the milliseconds until a request's deadline, or None if its header is invalid.
 
-    :param route_ms: what its route allows; a client may only shorten it.
+    :param route_ms: the route's limit in milliseconds, which a caller can only shorten.
     """
     text = request.get_header(headers.DEADLINE_MS)
     if text is None:
--- a/src/cranklane/node/callers.py
+++ b/src/cranklane/node/callers.py
@@ -1,9 +1,7 @@
-"""HTTP towards callers: the worker's own calls, or outside clients at an edge.
+"""HTTP server for callers: the node's worker, or external clients at an edge.
 
-Owns the calls in flight. Relies on :mod:`~cranklane.node.caller_request` and
-:mod:`~cranklane.node.caller_answer` for HTTP, and on :mod:`~cranklane.node.outbound` for
-the calls themselves. The sidecar watches for disconnected callers by another class, which
-looks five times less often and only while somebody waits.
+Tracks the calls in flight and cancels those whose caller disconnects.
+:mod:`~cranklane.node.outbound` makes the calls.
 """
 
 from __future__ import annotations
@@ -19,7 +17,7 @@
 from cranklane.common.secret_digest import secret_digest
 from cranklane.common.units import MILLISECONDS
 from cranklane.node.allowance import Allowance
-from cranklane.node.answer import Request, refused
+from cranklane.node.answer import Request, refused_answer
 from cranklane.node.caller_answer import write_answer, write_refusal
 from cranklane.node.caller_request import bearer_token, deadline_ms, read_call
 from cranklane.node.context import CallContext, ContextTable
@@ -29,16 +27,15 @@
 from cranklane.runtime.interface import Runtime
 
 DISCONNECT_CHECK_SECONDS = 0.05
-"""Seconds between looks at callers that may have gone away. A choice: well below the time of
-a call, so that its work is stopped early. One look at all callers costs far less than a
-watcher for each."""
+"""Seconds between checks for disconnected callers. Well below the duration of a call, so that
+its work stops early."""
 
 _ROOT_NUMBERS = 1 << 64
-"""Numbers of root requests are drawn below this: they fill 64 bits."""
+"""Exclusive upper bound of the random numbers of root requests, which have 64 bits."""
 
 
-class Callers:
-    """The WSGI application for callers.
+class CallerServer:
+    """WSGI application for callers.
 
     :param service: full name of the node's service, or empty at an edge.
     """
@@ -65,21 +62,21 @@
 
     @property
     def calls(self) -> int:
-        """Calls of callers in flight."""
+        """Number of calls in flight."""
         return len(self._active)
 
-    # falcon names the parameters of a sink.
+    # The parameter names are required by falcon.
     def _serve(self, req: falcon.Request, resp: falcon.Response, **_: Any) -> None:
         read = read_call(req)
         if isinstance(read, Err):
-            write_refusal(resp, refused(read.err_value))
+            write_refusal(resp, refused_answer(read.err_value))
             return
         call = read.ok_value
-        found = self._context(req, call)
-        if isinstance(found, Err):
-            write_refusal(resp, refused(found.err_value))
+        resolved = self._context(req, call)
+        if isinstance(resolved, Err):
+            write_refusal(resp, refused_answer(resolved.err_value))
             return
-        context = found.ok_value
+        context = resolved.ok_value
         self._next_call += 1
         number = self._next_call
         self._active[number] = (req.env.get(CONNECTION_KEY), context)
@@ -94,7 +91,7 @@
         self._active.pop(number, None)
 
     def _context(self, request: falcon.Request, call: Request) -> Result[CallContext, Reason]:
-        """Return what the call inherits, and name its caller."""
+        """Return the context for a call and set the call's caller."""
         if self._configuration.version == 0:
             return Err(Reason.NO_CONFIGURATION)
         if not self._service:
@@ -144,11 +141,13 @@
         return service.route(call.method, call.path.partition("?")[0])
 
     def _watch_disconnects(self) -> None:
-        """Cancel the calls of callers that have left."""
+        """Cancel the calls of disconnected callers; cheaper than a watcher for each caller."""
         while True:
             gevent.sleep(DISCONNECT_CHECK_SECONDS)
-            waiting = {id(item[0]): item for item in self._active.values() if item[0] is not None}
+            waiting = {
+                id(entry[0]): entry for entry in self._active.values() if entry[0] is not None
+            }
             if not waiting:
                 continue
-            for connection in self._runtime.hung_up([item[0] for item in waiting.values()]):
+            for connection in self._runtime.hung_up([entry[0] for entry in waiting.values()]):
                 waiting[id(connection)][1].cancel(Reason.CANCELLED)
--- a/src/cranklane/node/callers_port.py
+++ b/src/cranklane/node/callers_port.py
@@ -1,7 +1,4 @@
-"""Opens the port on which a node takes its callers' calls.
-
-Owns the rule on when to wait for a predecessor, and for how long.
-"""
+"""Opens the port for callers, waiting for the node's previous process to release it."""
 
 from __future__ import annotations
 
@@ -15,11 +12,11 @@
 from cranklane.runtime.interface import Address, Runtime
 
 PORT_CHECK_SECONDS = 0.05
-"""Seconds between tries to open the port. A choice: a port that gets free is taken at once."""
+"""Seconds between attempts to open the port."""
 
 PORT_MARGIN_SECONDS = 5.0
-"""Seconds waited for the port beyond a predecessor's longest stop. A choice: the time between
-a process's last call and its end."""
+"""Extra seconds to wait for the port beyond the longest planned stop, for the previous process
+to exit after its last call."""
 
 
 def open_when_free(
@@ -29,22 +26,22 @@
     stop_seconds: float,
     on_wait: Callable[[], None],
 ) -> HttpServer:
-    """Open a port that no other process may have, waiting until a predecessor has left it.
+    """Open a port exclusively, waiting until the previous process has released it.
 
-    A worker's child calls belong to the process that runs their parent call.
-    While a predecessor still finishes calls, it alone has the port.
+    The port is not shared, because a worker's child calls must reach the process that runs their
+    parent call. A previous process keeps the port until it has finished its calls.
 
-    :param stop_seconds: longest planned stop of the predecessor.
-    :param on_wait: called once, when the port is taken.
-    :raises OSError: when it cannot be opened, or stays taken for too long.
+    :param stop_seconds: longest planned stop of the previous process, in seconds.
+    :param on_wait: called once if the port is in use.
+    :raises OSError: when the port cannot be opened or stays in use for too long.
     """
-    until = runtime.monotonic() + stop_seconds + PORT_MARGIN_SECONDS
+    deadline = runtime.monotonic() + stop_seconds + PORT_MARGIN_SECONDS
     waiting = False
     while True:
         try:
             return HttpServer(runtime, address, application, shared=False)
         except OSError as error:
-            if error.errno != errno.EADDRINUSE or runtime.monotonic() >= until:
+            if error.errno != errno.EADDRINUSE or runtime.monotonic() >= deadline:
                 raise
         if not waiting:
             waiting = True
--- a/src/cranklane/node/concurrency.py
+++ b/src/cranklane/node/concurrency.py
@@ -1,70 +1,66 @@
-"""Limits how many calls the worker runs at once, and measures how long one takes.
+"""Adaptive concurrency limit of the worker and the moving average of its service time.
 
-Owns the limit and the measurement; :mod:`~cranklane.node.admission` counts the calls.
+:mod:`~cranklane.node.admission` counts the calls.
 """
 
 from __future__ import annotations
 
 SHED_FACTOR = 0.8
-"""Factor on the limit for each call that the worker refuses. A choice: a fifth off, as one
-refusal already states that the worker is at capacity."""
+"""Multiplies the limit for each call that the worker refuses."""
 
-TIME_WEIGHT = 0.1
-"""Weight of the newest call in the smoothed times. A choice: about ten calls count."""
+SERVICE_TIME_WEIGHT = 0.1
+"""Weight of the newest call in the moving averages of service time and deviation."""
 
-ASSUMED_SECONDS = 0.05
-"""Seconds a call is taken to need before one was measured. A choice: an ordinary
-service's, so that the first deadlines are judged roughly."""
+INITIAL_SERVICE_TIME_SECONDS = 0.05
+"""Service time in seconds assumed before the first call finishes."""
 
-DEVIATIONS = 2.0
-"""Deviations above the smoothed time within which most calls are done. Measured: with two, 78
-accepted calls of a surge of twice the capacity passed their deadline, with none 264."""
+LIKELY_TIME_DEVIATIONS = 2.0
+"""Mean deviations added to the service time to cover most calls."""
 
 
 class ConcurrencyLimit:
-    """Adaptive limit: at most the worker's stated slots, less while it sheds.
+    """Concurrency limit with additive increase and multiplicative decrease.
 
-    The worker's own refusals show its overload at once, while the load that it reports
-    lags. Each refusal takes a fifth off the limit, and as many finished calls as the
-    limit give one back.
+    The limit starts at the configured slots, which are its maximum. A refusal by the worker
+    multiplies it by :data:`SHED_FACTOR`; it grows by one for every ``limit`` finished calls.
 
-    :ivar service_time: smoothed seconds a call takes in the worker.
-    :ivar deviation: smoothed distance of single calls from it, in seconds.
+    :ivar service_time: moving average of the seconds a call takes in the worker.
+    :ivar deviation: moving average of the absolute deviation from it, in seconds.
     """
 
     def __init__(self, slots: int) -> None:
         self._slots = slots
         self._limit = float(slots)
-        self.service_time = ASSUMED_SECONDS
+        self.service_time = INITIAL_SERVICE_TIME_SECONDS
         self.deviation = 0.0
         self._measured = False
 
     @property
     def limit(self) -> int:
-        """Calls that may run in the worker now; at least 1."""
+        """Calls that may run in the worker concurrently; at least 1."""
         return max(1, int(self._limit))
 
     def set_slots(self, slots: int) -> None:
-        """Take a new stated number of slots."""
+        """Set the configured slots; a changed number resets the limit."""
         if slots != self._slots:
             self._slots = slots
             self._limit = float(slots)
 
     @property
-    def likely_time(self) -> float:
-        """Seconds within which most calls are done."""
-        return self.service_time + DEVIATIONS * self.deviation
+    def likely_service_time(self) -> float:
+        """Seconds within which the worker finishes most calls."""
+        return self.service_time + LIKELY_TIME_DEVIATIONS * self.deviation
 
     def finished(self, seconds: float) -> None:
-        """Count a call that the worker ran."""
-        weight = TIME_WEIGHT if self._measured else 1.0
+        """Record the service time in seconds of a finished call and raise the limit."""
+        weight = SERVICE_TIME_WEIGHT if self._measured else 1.0
         error = seconds - self.service_time
         self.service_time += weight * error
         if self._measured:
-            self.deviation += TIME_WEIGHT * (abs(error) - self.deviation)
+            self.deviation += SERVICE_TIME_WEIGHT * (abs(error) - self.deviation)
         self._measured = True
         self._limit = min(float(self._slots), self._limit + 1.0 / self._limit)
 
     def shed(self) -> None:
-        """Count a call that the worker refused."""
+        """Lower the limit after the worker refused a call."""
         self._limit = max(1.0, self._limit * SHED_FACTOR)
--- a/src/cranklane/node/early_refusal.py
+++ b/src/cranklane/node/early_refusal.py
@@ -1,6 +1,6 @@
-"""Refuses calls at the caller that the called members would refuse anyway.
+"""Refuses calls at the calling node when the called members would probably refuse them.
 
-Owns the rule. Members report with each answer which criticality they refuse
+Each answer of a member reports the criticality that it recently refused
 (:meth:`cranklane.node.admission.Admission.refused_below`);
 :mod:`~cranklane.node.members` keeps the reports.
 """
@@ -13,21 +13,20 @@
 from cranklane.node.members import MemberView, RefusalReport
 from cranklane.outcome import Criticality
 
-REPORT_SECONDS = 0.2
-"""Seconds for which a member's report is believed. A choice: the load of a member changes
-within a few service times."""
+REPORT_VALID_SECONDS = 0.2
+"""Seconds for which a member's report is valid. A few service times, as its load changes that
+fast."""
 
 _NO_REPORT = RefusalReport(0, 0.0)
 
 REFUSED_RATIO = 0.9
-"""Ratio of such calls that is refused; the others find out whether the reports still hold.
-A choice: one call in ten renews the reports and wastes little."""
+"""Fraction of the matching calls that is refused; the remaining calls refresh the reports."""
 
 
 class EarlyRefusal:
-    """The rule, for the calls of one node.
+    """Refuses a node's outbound calls early.
 
-    :param clock: monotonic seconds.
+    :param clock: returns monotonic seconds.
     """
 
     def __init__(self, clock: Callable[[], float], random: Random) -> None:
@@ -35,22 +34,20 @@
         self._random = random
 
     def refuses(self, members: Sequence[MemberView], tenant: str, criticality: Criticality) -> bool:
-        """Return whether a call is refused, as most members lately refused more critical ones.
+        """Return whether to refuse a call because most members refused more critical ones.
 
-        Calls of the highest criticality that is refused still go out: which of them fit
-        in is for the members to decide, and refusing them here leaves slots to less
-        critical calls. With that, 54% of the critical calls of a surge of five times the
-        capacity ended whole, and 45% when they were refused here too.
+        Calls of the highest refused criticality are still sent: the members decide which of
+        them fit in. Refusing them here would leave slots to less critical calls.
 
-        :param members: of the called service.
+        :param members: members of the called service.
         """
         if not members:
             return False
-        oldest = self._clock() - REPORT_SECONDS
+        oldest = self._clock() - REPORT_VALID_SECONDS
         refusing = 0
         for member in members:
             report = member.refusals.get(tenant, _NO_REPORT)
-            refusing += report.below > criticality + 1 and report.reported_at > oldest
+            refusing += report.refused_below > criticality + 1 and report.reported_at > oldest
         if refusing * 2 <= len(members):
             return False
         return self._random.random() < REFUSED_RATIO
--- a/src/cranklane/node/ejection.py
+++ b/src/cranklane/node/ejection.py
@@ -1,9 +1,7 @@
-"""Ejects members of a service that fail several times in a row.
+"""Outlier ejection: excludes members that fail several times in a row.
 
-Owns the rule: when, for how long, and how many at most. The failures are counted by
-:mod:`~cranklane.node.members`. The sidecar's rule
-(:mod:`~cranklane.sidecar.routing.ejection`) is another one: it tells failures to reach a
-destination, which eject it at once, from failed runs.
+:mod:`~cranklane.node.members` counts the failures. The sidecar's ejection rule is
+:mod:`~cranklane.sidecar.routing.ejection`.
 """
 
 from __future__ import annotations
@@ -12,24 +10,23 @@
 from typing import Protocol, TypeVar
 
 EJECT_AFTER_FAILURES = 3
-"""Failures in a row after which a member gets no calls for a while. A choice: one or two
-failures in a row are common while a single call or connection goes wrong."""
+"""Consecutive failures that eject a member. More than one bad call or connection
+usually causes."""
 
 EJECT_SECONDS = 5.0
-"""Seconds of the first ejection; each further failure in a row adds as many. A choice: about
-the time that a worker needs to restart."""
+"""Duration of the first ejection in seconds; each further consecutive failure adds as much.
+About the restart time of a worker."""
 
 MAX_EJECT_SECONDS = 60.0
-"""Seconds of the longest ejection. A choice: a member that works again is tried within a
-minute."""
+"""Longest ejection in seconds; bounds how long a recovered member gets no calls."""
 
-MIN_KEPT_RATIO = 0.5
-"""Ratio of a service's members that is never ejected. A choice: when more than half look
-broken, the fault is more likely on the caller's side."""
+MIN_ACTIVE_RATIO = 0.5
+"""Smallest fraction of a service's members left after ejection. If more than half of them
+fail, the fault is more likely on the caller's side, and ejections are ignored."""
 
 
 class Ejectable(Protocol):
-    """What the rule needs to know of a member.
+    """A member that can be ejected.
 
     :ivar ejected_until: monotonic second at which its ejection ends.
     """
@@ -41,7 +38,7 @@
 
 
 def ejection_seconds(failures: int) -> float:
-    """Return for how many seconds a member is ejected after failures in a row; 0: not at all.
+    """Return the seconds of ejection after consecutive failures; 0 for no ejection.
 
     >>> [ejection_seconds(failures) for failures in (2, 3, 4, 100)]
     [0.0, 5.0, 10.0, 60.0]
@@ -53,9 +50,9 @@
 
 
 def without_ejected(members: Sequence[_Member], now: float) -> Sequence[_Member]:
-    """Return the members that are not ejected, or all when too few would be left.
+    """Return the members that are not ejected, or all members if too few would be left.
 
-    :param now: monotonic seconds.
+    :param now: current time in monotonic seconds.
     """
     healthy = [member for member in members if member.ejected_until <= now]
-    return healthy if len(healthy) >= len(members) * MIN_KEPT_RATIO else members
+    return healthy if len(healthy) >= len(members) * MIN_ACTIVE_RATIO else members
--- a/src/cranklane/node/fair_queue.py
+++ b/src/cranklane/node/fair_queue.py
@@ -1,11 +1,11 @@
-"""The queue of calls that wait for one of the worker's slots.
+"""Queue of the calls that wait for one of the worker's slots.
 
-Tenants share the slots by weighted max-min: the next slot goes to the waiting
-tenant that has the fewest slots for its share. Within a tenant the higher
-criticality goes first, and within that the oldest call, or the newest once the
-queue is overloaded: an old call has little time left and would be wasted work.
+Tenants share the slots by weighted max-min fairness: the next slot goes to the queued tenant
+with the fewest slots relative to its share. Within a tenant, calls are ordered by criticality
+and then by age: oldest first, or newest first under overload, when old calls would miss their
+deadlines.
 
-Owns the waiting calls; :mod:`~cranklane.node.admission` counts those that run.
+:mod:`~cranklane.node.admission` counts the running calls.
 """
 
 from __future__ import annotations
@@ -18,11 +18,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
-    """One call in the queue.
+class QueuedCall:
+    """A call in the queue.
 
-    :ivar deadline: monotonic second after which nobody waits.
-    :ivar settle: called once, with NONE when the call gets a slot, else the reason.
+    :ivar deadline: the call's deadline in monotonic seconds.
+    :ivar since: monotonic second at which the call was queued.
+    :ivar settle: called once, with NONE if the call gets a slot, else with the refusal reason.
     """
 
     tenant: str
@@ -34,17 +35,17 @@
 
 @dataclass(slots=True)
 class _TenantQueue:
-    levels: dict[Criticality, OrderedDict[int, Waiting]] = field(
+    levels: dict[Criticality, OrderedDict[int, QueuedCall]] = field(
         default_factory=lambda: {level: OrderedDict() for level in Criticality}
     )
     size: int = 0
 
 
 class FairQueue:
-    """Waiting calls by tenant and criticality.
+    """Queued calls by tenant and criticality.
 
     :param share_of: returns a tenant's weight.
-    :ivar size: calls that wait.
+    :ivar size: number of queued calls.
     """
 
     def __init__(self, share_of: Callable[[str], int]) -> None:
@@ -52,15 +53,15 @@
         self._tenants: dict[str, _TenantQueue] = {}
         self.size = 0
 
-    def add(self, call: Waiting) -> None:
-        """Let a call wait."""
+    def add(self, call: QueuedCall) -> None:
+        """Add a call to the queue."""
         queue = self._tenants.setdefault(call.tenant, _TenantQueue())
         queue.levels[call.criticality][id(call)] = call
         queue.size += 1
         self.size += 1
 
-    def remove(self, call: Waiting) -> bool:
-        """Withdraw a call; return False when it no longer waits."""
+    def remove(self, call: QueuedCall) -> bool:
+        """Remove a call; return False if it is no longer queued."""
         queue = self._tenants.get(call.tenant)
         if queue is None or queue.levels[call.criticality].pop(id(call), None) is None:
             return False
@@ -70,10 +71,10 @@
             del self._tenants[call.tenant]
         return True
 
-    def take(self, in_flight: dict[str, int], newest_first: bool) -> Waiting | None:
+    def take(self, in_flight: dict[str, int], newest_first: bool) -> QueuedCall | None:
         """Remove and return the call that gets the next slot.
 
-        :param in_flight: slots taken now, by tenant.
+        :param in_flight: number of occupied slots by tenant.
         :param newest_first: whether the newest of equally critical calls goes first.
         """
         if not self._tenants:
@@ -89,48 +90,48 @@
                 return call
         return None
 
-    def victim(self, newcomer: Waiting, in_flight: dict[str, int]) -> Waiting | None:
-        """Return the waiting call that must give way to a newcomer, if any.
+    def victim(self, new_call: QueuedCall, in_flight: dict[str, int]) -> QueuedCall | None:
+        """Return the queued call to evict for a new call, or None.
 
-        The tenant with the most waiting and running calls for its share gives
-        way, the newcomer counted with its own; within a tenant only a lower
-        criticality gives way.
+        The victim belongs to the tenant with the most queued and running calls relative to
+        its share, including the new call. A call of the new call's own tenant is evicted only
+        if it has a lower criticality.
         """
 
-        heaviest = self._heaviest(newcomer.tenant, in_flight)
+        heaviest = self._heaviest(new_call.tenant, in_flight)
         queue = self._tenants.get(heaviest)
         if queue is None:
             return None
         for level in Criticality:
-            if heaviest == newcomer.tenant and level >= newcomer.criticality:
+            if heaviest == new_call.tenant and level >= new_call.criticality:
                 return None
             if queue.levels[level]:
                 return next(iter(queue.levels[level].values()))
         return None
 
-    def _heaviest(self, newcomer: str, in_flight: dict[str, int]) -> str:
-        """Return the tenant that has the most calls for its share; of equals the newcomer's."""
+    def _heaviest(self, new_tenant: str, in_flight: dict[str, int]) -> str:
+        """Return the tenant with the most calls relative to its share; on a tie, ``new_tenant``."""
 
         def load(name: str) -> float:
-            waiting = self._tenants[name].size if name in self._tenants else 0
-            waiting += 1 if name == newcomer else 0
-            return (waiting + in_flight.get(name, 0)) / self._share_of(name)
+            queued = self._tenants[name].size if name in self._tenants else 0
+            queued += 1 if name == new_tenant else 0
+            return (queued + in_flight.get(name, 0)) / self._share_of(name)
 
-        heaviest = max(sorted({*self._tenants, newcomer}), key=load)
-        return heaviest if load(heaviest) > load(newcomer) else newcomer
+        heaviest = max(sorted({*self._tenants, new_tenant}), key=load)
+        return heaviest if load(heaviest) > load(new_tenant) else new_tenant
 
     def ahead_of(self, tenant: str, criticality: Criticality) -> int:
-        """Return how many calls of the tenant go before a newcomer's."""
+        """Return how many queued calls of a tenant go before a new one."""
         queue = self._tenants.get(tenant)
         if queue is None:
             return 0
         return sum(len(queue.levels[level]) for level in Criticality if level >= criticality)
 
     def tenants(self) -> list[str]:
-        """Return the tenants with waiting calls."""
+        """Return the tenants with queued calls."""
         return list(self._tenants)
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[QueuedCall]:
         for queue in list(self._tenants.values()):
             for calls in queue.levels.values():
                 yield from list(calls.values())
--- a/src/cranklane/node/inbound.py
+++ b/src/cranklane/node/inbound.py
@@ -1,6 +1,6 @@
-"""Serves the connections of other nodes and starts a task for each call on them.
+"""Accepts connections from other nodes and spawns a task for each call on them.
 
-Owns the connections. Relies on :mod:`~cranklane.node.call_runner` for the calls.
+:mod:`~cranklane.node.call_runner` runs the calls.
 """
 
 from __future__ import annotations
@@ -36,11 +36,11 @@
 
 
 class Inbound:
-    """The serving half of a node.
+    """Server for calls from other nodes.
 
-    :param hello: returns this node's greeting.
-    :param on_newer: called when a caller shows a newer configuration version.
-    :ivar calls: calls of other nodes in flight.
+    :param hello: returns this node's Hello record.
+    :param on_newer_version: called when a caller reports a newer configuration version.
+    :ivar calls: number of inbound calls in flight.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         runner: CallRunner,
         metrics: NodeMetrics,
         hello: Callable[[], Hello],
-        on_newer: Callable[[], None],
+        on_newer_version: Callable[[], None],
     ) -> None:
         self._runtime = runtime
         self._configuration = configuration
@@ -59,7 +59,7 @@
         self._runner = runner
         self._metrics = metrics
         self._hello = hello
-        self._on_newer = on_newer
+        self._on_newer_version = on_newer_version
         self._connections: dict[int, RecordConnection] = {}
         self._watches: dict[int, SilenceWatch] = {}
         self._next_connection = 0
@@ -86,9 +86,9 @@
             records.set_silent_after(None)
             while True:
                 call_number, message = records.receive()
-                self._take(records, calls, call_number, message)
+                self._handle_record(records, calls, call_number, message)
         except ConnectionLostError:
-            # Calling nodes come and go; its calls are cancelled below.
+            # Calling nodes may disconnect at any time; their calls are cancelled below.
             pass
         except MalformedRecordError:
             self._metrics.event("malformed_record")
@@ -99,7 +99,7 @@
             for call in list(calls.values()):
                 call.cancel(Reason.CANCELLED)
 
-    def _take(
+    def _handle_record(
         self,
         records: RecordConnection,
         calls: dict[int, InboundCall],
@@ -109,7 +109,9 @@
         match message:
             case CallOpen():
                 if number == CONNECTION_CALL or number in calls:
-                    raise MalformedRecordError(f"call {number} is opened twice")
+                    raise MalformedRecordError(
+                        f"CallOpen has number {number}, which is reserved or in use"
+                    )
                 call = InboundCall(records, number, message, self._context(message))
                 calls[number] = call
                 self._runtime.spawn(self._run, call, calls)
@@ -119,7 +121,7 @@
                 calls[number].cancel(Reason.CANCELLED)
             case Ping():
                 if message.version > self._configuration.version:
-                    self._on_newer()
+                    self._on_newer_version()
                 records.send(load_report(self._admission, self._configuration.version))
             case _:
                 self._metrics.event("late_record")
@@ -128,7 +130,7 @@
         try:
             criticality = Criticality(message.criticality)
         except ValueError as error:
-            raise MalformedRecordError(f"criticality {message.criticality}") from error
+            raise MalformedRecordError(f"unknown criticality {message.criticality}") from error
         return CallContext(
             root=message.root,
             tenant=message.tenant,
@@ -143,17 +145,17 @@
         try:
             self._runner.run(call)
         except ConnectionLostError:
-            # The calling node is gone: nobody is there to be answered.
+            # The calling node has disconnected, so there is no one to send the answer to.
             pass
         finally:
             self.calls -= 1
             calls.pop(call.number, None)
 
     def announce_stop(self) -> None:
-        """Ask every calling node to open no new calls here."""
+        """Announce to every calling node that this node accepts no new calls."""
         for records in list(self._connections.values()):
             try:
                 records.send(GoingAway(Reason.STOPPING))
             except ConnectionLostError:
-                # The node on this connection opens no calls any more.
+                # A lost connection carries no new calls.
                 pass
--- a/src/cranklane/node/inbound_call.py
+++ b/src/cranklane/node/inbound_call.py
@@ -1,7 +1,4 @@
-"""One call that another node has opened here.
-
-Owns the call's window: how many bytes of its answer the caller takes now.
-"""
+"""A call from another node, with flow control of its answer."""
 
 from __future__ import annotations
 
@@ -13,15 +10,15 @@
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import CallOpen, Message
 
-CREDIT_SECONDS = 30.0
-"""Seconds a caller may leave its window used up before its answer is cut. A choice: as long as
-a caller waits for the next piece of an answer."""
+CREDIT_TIMEOUT_SECONDS = 30.0
+"""Seconds to wait for flow-control credit before the answer is truncated. As long as a caller
+waits for the next body chunk."""
 
 
 class InboundCall:
-    """One call from another node, run by a task of its own.
+    """An inbound call; a separate task runs it.
 
-    :ivar detached: whether it runs to its end even when nobody waits any more.
+    :ivar detached: whether the call runs to its end even if the caller cancels it.
     """
 
     def __init__(
@@ -32,46 +29,46 @@
         self.message = message
         self.context = context
         self.detached = False
-        self._gone = False
+        self._caller_gone = False
         self._window = message.window
         self._credited = Event()
 
     def send(self, message: Message) -> None:
         """Send a record of this call's answer.
 
-        :raises ConnectionLostError: when the caller is gone.
+        :raises ConnectionLostError: when the connection to the caller is lost.
         """
         self._records.send(message, self.number)
 
     def queue(self, message: Message) -> None:
-        """Add a record that leaves with the next one sent."""
+        """Buffer a record until the next send."""
         self._records.queue(message, self.number)
 
     def send_queued(self) -> None:
-        """Send the records added by :meth:`queue`."""
+        """Send the records buffered by :meth:`queue`."""
         self._records.flush()
 
     def credit(self, size: int) -> None:
-        """Let ``size`` more bytes of the answer be sent."""
+        """Enlarge the flow-control window by ``size`` bytes."""
         self._window += size
         self._credited.set()
 
     def cancel(self, reason: Reason) -> None:
-        """Stop the call, unless it is detached: nobody waits."""
-        self._gone = True
+        """Handle a cancelled call or lost connection; a detached call keeps running."""
+        self._caller_gone = True
         if not self.detached:
             self.context.cancel(reason)
         self._credited.set()
 
     def wait_for_window(self, size: int) -> None:
-        """Wait until the caller can take ``size`` bytes, and take them off the window.
+        """Wait until the window is open and take ``size`` bytes from it; it may become negative.
 
-        :raises AnswerCutError: when it takes none for too long, or is gone.
+        :raises AnswerCutError: when no credit arrives in time or the caller is gone.
         """
         while self._window <= 0:
             self._credited.clear()
-            if not self._credited.wait(CREDIT_SECONDS):
-                raise AnswerCutError("the caller takes no more bytes")
-            if self._gone:
-                raise AnswerCutError("cancelled")
+            if not self._credited.wait(CREDIT_TIMEOUT_SECONDS):
+                raise AnswerCutError("no flow-control credit from the caller in time")
+            if self._caller_gone:
+                raise AnswerCutError("the caller cancelled the call or disconnected")
         self._window -= size
--- a/src/cranklane/node/ledger_client.py
+++ b/src/cranklane/node/ledger_client.py
@@ -1,4 +1,4 @@
-"""Asks ledger groups: finds the replica that leads and keeps a connection to it."""
+"""Client for ledger groups: finds each group's leader and keeps a connection to it."""
 
 from __future__ import annotations
 
@@ -25,26 +25,25 @@
 )
 from cranklane.runtime.interface import Address, Runtime, format_address, parse_address
 
-TRY_SECONDS = 0.5
-"""Seconds that one replica has to answer. A choice: a third of the time a once-call waits."""
+REPLICA_TIMEOUT_SECONDS = 0.5
+"""Seconds to wait for one replica's reply; short enough to try several during a once-call."""
 
 ROUND_PAUSE_SECONDS = 0.1
-"""Seconds between rounds over all replicas while none of them leads. A choice: short beside
-an election."""
+"""Seconds between rounds of requests to all replicas while the group has no known leader."""
 
-CONNECT_SECONDS = 0.3
-"""Seconds a replica has to take a connection. A choice: below the time it has to answer."""
+CONNECT_TIMEOUT_SECONDS = 0.3
+"""Seconds to connect to a replica."""
 
-IDLE_SECONDS = 9.0
-"""Seconds without a record after which a connection is closed. A choice: just before the
-ledger closes it (cranklane.ledger.process.SILENT_SECONDS)."""
+IDLE_TIMEOUT_SECONDS = 9.0
+"""Seconds without a record after which a connection is closed; just before the ledger closes
+it (cranklane.ledger.process.SILENT_SECONDS)."""
 
 
 @dataclass(frozen=True)
 class LedgerFailure:
-    """No replica has granted or refused.
+    """A request that got no answer from a leader.
 
-    :ivar not_run: whether the request certainly changed nothing.
+    :ivar not_run: True if the request certainly had no effect.
     """
 
     not_run: bool
@@ -52,10 +51,10 @@
 
 @dataclass(frozen=True)
 class _Reply:
-    """What came of one request.
+    """Result of one request.
 
-    :ivar message: the reply, or None without one.
-    :ivar not_run: whether the request certainly changed nothing.
+    :ivar message: the reply, or None if none arrived.
+    :ivar not_run: True if the request certainly had no effect.
     """
 
     message: Message | None
@@ -63,12 +62,12 @@
 
 
 class _Connection:
-    """A connection to one ledger replica; many requests share it."""
+    """Connection to one ledger replica, shared by concurrent requests."""
 
-    def __init__(self, runtime: Runtime, address: Address, own: Hello) -> None:
-        connection = runtime.connect(address, CONNECT_SECONDS)
-        self.records = RecordConnection(connection, IDLE_SECONDS)
-        self.records.greet(own)
+    def __init__(self, runtime: Runtime, address: Address, hello: Hello) -> None:
+        connection = runtime.connect(address, CONNECT_TIMEOUT_SECONDS)
+        self.records = RecordConnection(connection, IDLE_TIMEOUT_SECONDS)
+        self.records.greet(hello)
         self._answers: dict[int, AsyncResult] = {}
         self._next_call = 0
         runtime.spawn(self._read)
@@ -86,7 +85,7 @@
                 answer.set(None)
 
     def ask(self, request: Message, seconds: float) -> Message | None:
-        """Return the answer, or None when none came in time."""
+        """Send a request; return the answer, or None if none arrives in time."""
         self._next_call += 1
         answer = self._answers[self._next_call] = AsyncResult()
         try:
@@ -95,15 +94,15 @@
         except ConnectionLostError:
             return None
         except gevent.Timeout:
-            # Silent: the next request tries another replica at once.
+            # Close the connection of an unresponsive replica, so that the next request reconnects.
             self.records.close()
             return None
 
 
 class LedgerClient:
-    """The ledger groups as one node reaches them.
+    """A node's client for all ledger groups.
 
-    :param hello: returns the node's greeting.
+    :param hello: returns the node's Hello record.
     """
 
     def __init__(self, runtime: Runtime, members: MemberTable, hello: Callable[[], Hello]) -> None:
@@ -111,38 +110,39 @@
         self._members = members
         self._hello = hello
         self._connections: dict[str, _Connection] = {}
-        self._dialling: dict[str, Semaphore] = {}
+        self._connect_locks: dict[str, Semaphore] = {}
         self._leaders: dict[str, str] = {}
 
     def begin(
         self, group: str, request: LedgerBegin, seconds: float
     ) -> Result[LedgerGrant, LedgerFailure]:
-        """Ask for the entry of a once-call."""
+        """Request the ledger's decision on a once-call."""
         reply = self._ask_group(group, request, seconds)
         if isinstance(reply.message, LedgerGrant):
             return Ok(reply.message)
         return Err(LedgerFailure(reply.not_run))
 
     def finish(self, group: str, request: LedgerFinish, seconds: float) -> LedgerDone | None:
-        """Store how a once-call ended; return the ledger's answer, or None without one."""
+        """Store the outcome of a once-call; return the ledger's answer, or None if none arrives."""
         message = self._ask_group(group, request, seconds).message
         return message if isinstance(message, LedgerDone) else None
 
     def _ask_group(self, group: str, request: Message, seconds: float) -> _Reply:
-        """Return the leader's reply; ask replicas in rounds until one leads or time is up.
+        """Return the leader's reply; query the replicas in rounds until one leads or time is up.
 
-        A further round is made only when some replica may lead: it has the request, or
-        named a leader. Without any, the call is refused at once instead of waiting.
+        Another round follows only if some replica may be the leader, because it may have
+        accepted the request or because it named another replica. Otherwise the group has no
+        leader and the request fails at once.
         """
-        until = self._runtime.monotonic() + seconds
+        deadline = self._runtime.monotonic() + seconds
         not_run = True
         while True:
             leaderless = True
             for address in self._addresses(group):
-                left = until - self._runtime.monotonic()
-                if left <= 0:
+                remaining = deadline - self._runtime.monotonic()
+                if remaining <= 0:
                     return _Reply(None, not_run)
-                reply = self._ask(address, request, min(TRY_SECONDS, left))
+                reply = self._ask_replica(address, request, min(REPLICA_TIMEOUT_SECONDS, remaining))
                 not_run &= reply.not_run
                 if isinstance(reply.message, LedgerUnavailable):
                     leaderless &= not self._follow_hint(group, address, reply.message)
@@ -151,12 +151,12 @@
                     return reply
                 else:
                     leaderless &= reply.not_run
-            if leaderless or self._runtime.monotonic() + ROUND_PAUSE_SECONDS >= until:
+            if leaderless or self._runtime.monotonic() + ROUND_PAUSE_SECONDS >= deadline:
                 return _Reply(None, not_run)
             gevent.sleep(ROUND_PAUSE_SECONDS)
 
     def _follow_hint(self, group: str, address: str, reply: LedgerUnavailable) -> bool:
-        """Remember which leader a replica names; return whether it names another one."""
+        """Store the leader that a replica names; return whether it named another replica."""
         if reply.leader and reply.leader != address:
             self._leaders[group] = reply.leader
             return True
@@ -165,28 +165,28 @@
         return False
 
     def _addresses(self, group: str) -> list[str]:
-        """Return where to ask, the likely leader first."""
+        """Return the replicas' addresses, the likely leader's first."""
         members = self._members.of(SYSTEM_TENANT, group)
         addresses = [format_address(member.address) for member in members]
         self._runtime.random.shuffle(addresses)
         leader = self._leaders.get(group)
         if leader is not None:
-            addresses = [leader, *(item for item in addresses if item != leader)]
+            addresses = [leader, *(address for address in addresses if address != leader)]
         return addresses
 
-    def _ask(self, address: str, request: Message, seconds: float) -> _Reply:
-        """Ask one replica."""
+    def _ask_replica(self, address: str, request: Message, seconds: float) -> _Reply:
+        """Send a request to one replica and return the result."""
         try:
             connection = self._connection(address)
         except (OSError, ConnectionLostError, MalformedRecordError):
-            # Nothing was sent; another replica is asked.
+            # Nothing was sent, so another replica may be tried.
             return _Reply(None, not_run=True)
         message = connection.ask(request, seconds)
         refused = isinstance(message, LedgerUnavailable) and message.not_run
         return _Reply(message, refused)
 
     def _connection(self, address: str) -> _Connection:
-        with self._dialling.setdefault(address, Semaphore()):
+        with self._connect_locks.setdefault(address, Semaphore()):
             connection = self._connections.get(address)
             if connection is None or connection.records.closed:
                 target = parse_address(address)
--- a/src/cranklane/node/load.py
+++ b/src/cranklane/node/load.py
@@ -1,7 +1,6 @@
-"""What a node reports of its worker's load, and the heads of answers that carry it.
+"""Builds load reports and the heads of answers, which carry the load as well.
 
-Owns nothing; the figures are those of :mod:`~cranklane.node.admission`. Callers choose
-members by them (:mod:`~cranklane.node.balancer`).
+Callers balance their calls by the load (:mod:`~cranklane.node.balancer`).
 """
 
 from __future__ import annotations
@@ -14,9 +13,9 @@
 
 
 def load_report(admission: Admission, version: int) -> LoadReport:
-    """Return the report that follows each ping.
+    """Return the load report that answers a ping.
 
-    :param version: of the configuration in force.
+    :param version: version of the active configuration.
     """
     return LoadReport(
         in_flight=admission.in_flight,
@@ -31,7 +30,7 @@
 def answer_head(
     admission: Admission, tenant: str, outcome: Outcome, reason: Reason = Reason.NONE
 ) -> AnswerHead:
-    """Return an answer's head with the load, and with what is refused to a tenant."""
+    """Return an answer's head with the load and the criticality recently refused to the tenant."""
     return AnswerHead(
         outcome=outcome,
         reason=reason,
@@ -46,7 +45,7 @@
 def refusal_head(
     admission: Admission, context: CallContext, outcome: Outcome, refusal: Refusal
 ) -> AnswerHead:
-    """Return the head that alone makes up the answer of a call without one from the worker."""
+    """Return the head of a refusal, which has no body or end record."""
     head = answer_head(admission, context.tenant, outcome, refusal.reason)
     head.retry_after_ms = refusal.retry_after_ms
     head.allowance = context.allowance.remaining
--- a/src/cranklane/node/members.py
+++ b/src/cranklane/node/members.py
@@ -1,10 +1,7 @@
-"""The nodes of the services that this node calls.
+"""Members (nodes) of the called services.
 
-Owns what this node knows of each: what control says of it, the load it reports, and how
-calls to it went. Relies on :mod:`~cranklane.node.ejection` for the rule on failures. The
-sidecar keeps more of a destination (:mod:`~cranklane.sidecar.routing.destination`): there
-a worker's health and its absence from control's list count, here a member is there as long
-as control says so.
+For each member, keeps the state published by control, its reported load and the results of
+calls to it. :mod:`~cranklane.node.ejection` decides on ejections.
 """
 
 from __future__ import annotations
@@ -18,34 +15,34 @@
 from cranklane.runtime.interface import Address, parse_address
 
 LATENCY_WEIGHT = 0.2
-"""Weight of the newest latency in the smoothed one. A choice: about five answers count."""
+"""Weight of the newest latency in the moving average."""
 
 
 @dataclass(frozen=True, slots=True)
 class RefusalReport:
-    """What a member lately refused to a tenant.
+    """A member's report of its recent refusals to a tenant.
 
-    :ivar below: calls of a lower criticality than this number; 0: none.
+    :ivar refused_below: one more than the highest refused criticality; 0 for no refusals.
     :ivar reported_at: monotonic second of the report.
     """
 
-    below: int
+    refused_below: int
     reported_at: float
 
 
 @dataclass(slots=True, eq=False)
 class MemberView:
-    """One destination node and what this node knows of its load.
-
-    :ivar first_seen: monotonic second at which this node learned of it.
-    :ivar limit: calls that its worker runs at once at most.
-    :ivar reported: calls in flight or waiting there, by its newest report.
-    :ivar opened_since: calls this node sent there after that report.
-    :ivar in_flight: calls of this node there now.
-    :ivar latency: smoothed seconds until an answer's head.
-    :ivar failures: attempts there that failed in a row.
+    """A destination node, with its load and health as seen by this node.
+
+    :ivar first_seen: monotonic second at which this node learned of the member.
+    :ivar limit: concurrency limit of its worker.
+    :ivar reported_calls: running and queued calls in its newest report.
+    :ivar opened_since_report: calls that this node has sent since that report.
+    :ivar in_flight: this node's calls in flight to the member.
+    :ivar latency: moving average of the seconds until an answer's head.
+    :ivar failures: consecutive failed attempts.
     :ivar ejected_until: monotonic second at which its ejection ends.
-    :ivar refusals: its newest report by tenant.
+    :ivar refusals: its newest report of refusals by tenant.
     """
 
     node: str
@@ -55,9 +52,9 @@
     address: Address
     first_seen: float
     state: MemberState = MemberState.LIVE
-    reported: int = 0
+    reported_calls: int = 0
     limit: int = 1
-    opened_since: int = 0
+    opened_since_report: int = 0
     in_flight: int = 0
     latency: float = 0.0
     failures: int = 0
@@ -65,39 +62,41 @@
     refusals: dict[str, RefusalReport] = field(default_factory=dict)
 
     def load(self) -> float:
-        """Return the estimated calls there for each of its slots."""
-        return max(self.in_flight, self.reported + self.opened_since) / max(1, self.limit)
+        """Return the estimated calls per slot of the member."""
+        return max(self.in_flight, self.reported_calls + self.opened_since_report) / max(
+            1, self.limit
+        )
 
     def opened(self) -> None:
-        """Count a call sent there."""
+        """Count a call sent to the member."""
         self.in_flight += 1
-        self.opened_since += 1
+        self.opened_since_report += 1
 
     def closed(self) -> None:
-        """Count a call ended there."""
+        """Count the end of a call to the member."""
         self.in_flight -= 1
 
     def reported_load(self, report: LoadReport | AnswerHead, queued: int = 0) -> None:
-        """Take the load that the node reports; what was sent since then is counted anew."""
-        self.reported = report.in_flight + queued
+        """Update the load from a report and reset the count of calls sent since."""
+        self.reported_calls = report.in_flight + queued
         self.limit = max(1, report.limit)
-        self.opened_since = 0
+        self.opened_since_report = 0
         if report.draining:
             self.state = MemberState.DRAINING
 
     def answered(self, seconds: float) -> None:
-        """Count an answer or a refusal: the node works.
+        """Record an answer or a refusal, which ends a series of failures.
 
-        :param seconds: until it came.
+        :param seconds: latency of the answer's head.
         """
         self.failures = 0
         weight = LATENCY_WEIGHT if self.latency else 1.0
         self.latency += weight * (seconds - self.latency)
 
     def failed(self, now: float) -> bool:
-        """Count a failure; return True when it ejects the member.
+        """Record a failure; return whether it ejects the member.
 
-        :param now: monotonic seconds.
+        :param now: current time in monotonic seconds.
         """
         self.failures += 1
         seconds = ejection_seconds(self.failures)
@@ -108,7 +107,7 @@
 
 
 class MemberTable:
-    """Members of each service, kept current from control's deltas."""
+    """Members of each service, updated by deltas from control."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
@@ -119,33 +118,33 @@
         return list(self._members.get((tenant, service), {}).values())
 
     def apply(self, delta: MemberDelta) -> list[MemberView]:
-        """Take a delta; return the members that are gone."""
-        gone = []
+        """Apply a delta; return the removed members."""
+        removed = []
         if delta.whole:
             named = {(member.tenant, member.service, member.node) for member in delta.members}
             for (tenant, service), members in self._members.items():
                 unnamed = [node for node in members if (tenant, service, node) not in named]
-                gone += [members.pop(node) for node in unnamed]
+                removed += [members.pop(node) for node in unnamed]
         for member in delta.members:
-            gone += self._apply(member)
-        return gone
+            removed += self._apply(member)
+        return removed
 
     def _apply(self, member: Member) -> list[MemberView]:
         members = self._members.setdefault((member.tenant, member.service), {})
-        known = members.get(member.node)
-        if known is not None:
-            order = (known.incarnation, known.sequence)
+        view = members.get(member.node)
+        if view is not None:
+            order = (view.incarnation, view.sequence)
             if (member.incarnation, member.sequence) < order:
                 return []
         if not MemberState(member.state).is_there:
             removed = members.pop(member.node, None)
             return [removed] if removed is not None else []
-        if known is None or known.incarnation != member.incarnation:
-            # A machine replaced under the same name or address is a new one.
+        if view is None or view.incarnation != member.incarnation:
+            # Another incarnation under the same name is a new member.
             members[member.node] = self._view(member)
-            return [known] if known is not None else []
-        known.sequence = member.sequence
-        known.state = MemberState(member.state)
+            return [view] if view is not None else []
+        view.sequence = member.sequence
+        view.state = MemberState(member.state)
         return []
 
     def _view(self, member: Member) -> MemberView:
--- a/src/cranklane/node/metrics.py
+++ b/src/cranklane/node/metrics.py
@@ -1,8 +1,6 @@
-"""Counters and histograms of one node, in the Prometheus text format.
+"""Prometheus counters and histograms of one node.
 
-The node counts with the library's own counters. The sidecar
-(:mod:`~cranklane.sidecar.telemetry.metrics`) counts by plain additions and makes the
-library's families only when asked, since it counts far more often.
+The sidecar's metrics are in :mod:`~cranklane.sidecar.telemetry.metrics`.
 """
 
 from __future__ import annotations
@@ -11,13 +9,12 @@
 
 from cranklane.outcome import Criticality, Outcome, Reason
 
-_SECONDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
-"""Bounds of the histograms' buckets, in seconds. A choice: three for each power of ten, from
-the time that a node adds to the longest deadlines."""
+_BUCKET_BOUNDS_SECONDS = (0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)
+"""Bucket bounds of the histograms, from the latency a node adds to the longest deadlines."""
 
 
 class NodeMetrics:
-    """The counters of one node; each process has a registry of its own."""
+    """Metrics of one node, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -42,13 +39,13 @@
         self._queue_seconds = Histogram(
             "cranklane_queue_seconds",
             "Seconds that admitted calls waited for a slot.",
-            buckets=_SECONDS,
+            buckets=_BUCKET_BOUNDS_SECONDS,
             registry=self.registry,
         )
         self._worker_seconds = Histogram(
             "cranklane_worker_seconds",
             "Seconds until the worker's answer began.",
-            buckets=_SECONDS,
+            buckets=_BUCKET_BOUNDS_SECONDS,
             registry=self.registry,
         )
         self._events = Counter(
@@ -57,43 +54,43 @@
             ["kind"],
             registry=self.registry,
         )
-        self._cells: dict[tuple[object, ...], Counter] = {}
+        self._children: dict[tuple[object, ...], Counter] = {}
 
-    def _cell(self, counter: Counter, *labels: object) -> Counter:
-        # labels() costs more than the count itself; keep the cells.
+    def _child(self, counter: Counter, *labels: object) -> Counter:
+        # Cache the children: labels() costs more than the increment.
         key = (id(counter), *labels)
-        cell = self._cells.get(key)
-        if cell is None:
-            cell = self._cells[key] = counter.labels(*labels)
-        return cell
+        child = self._children.get(key)
+        if child is None:
+            child = self._children[key] = counter.labels(*labels)
+        return child
 
     def call(
         self, service: str, outcome: Outcome, reason: Reason, criticality: Criticality
     ) -> None:
-        """Count a call that ended."""
-        self._cell(
+        """Count a finished call."""
+        self._child(
             self._calls, service, outcome.label, reason.label, criticality.name.lower()
         ).inc()
 
     def attempt(self, service: str, kind: str) -> None:
         """Count an attempt: ``first``, ``retry`` or ``redirect``."""
-        self._cell(self._attempts, service, kind).inc()
+        self._child(self._attempts, service, kind).inc()
 
     def admission(self, tenant: str, criticality: Criticality, reason: Reason) -> None:
-        """Count a decision on a call to the worker."""
-        self._cell(self._admissions, tenant, criticality.name.lower(), reason.label).inc()
+        """Count an admission decision."""
+        self._child(self._admissions, tenant, criticality.name.lower(), reason.label).inc()
 
-    def queued(self, seconds: float) -> None:
-        """Note how long an admitted call waited."""
+    def observe_queue_wait(self, seconds: float) -> None:
+        """Record the queueing delay of an admitted call."""
         self._queue_seconds.observe(seconds)
 
-    def worker(self, seconds: float) -> None:
-        """Note how long the worker took to begin its answer."""
+    def observe_worker_time(self, seconds: float) -> None:
+        """Record the seconds until the worker's answer began."""
         self._worker_seconds.observe(seconds)
 
     def event(self, kind: str) -> None:
-        """Count a change of state or a protocol fault."""
-        self._cell(self._events, kind).inc()
+        """Count a state change or a protocol error."""
+        self._child(self._events, kind).inc()
 
     def text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
--- a/src/cranklane/node/once.py
+++ b/src/cranklane/node/once.py
@@ -1,7 +1,7 @@
-"""Runs calls of once-routes under the ledger, so that each runs at most once.
+"""Once-calls: calls of routes that must run at most once for each idempotency key.
 
-Owns the answers that the ledger has not taken yet. Relies on
-:mod:`~cranklane.node.ledger_client` to reach the ledger, which decides who may run.
+The ledger decides which attempt may run; :mod:`~cranklane.node.ledger_client` sends it the
+requests. Outcomes are stored in the background.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from result import Err, Ok, Result
 
 from cranklane.common.units import MILLISECONDS
-from cranklane.ledger.store import MAX_STORED_BODY, LedgerDecision
+from cranklane.ledger.store import MAX_STORED_BODY_BYTES, LedgerDecision
 from cranklane.node.ledger_client import LedgerClient
 from cranklane.node.retry_after import LEDGER_MS
 from cranklane.outcome import Outcome, Reason
@@ -23,29 +23,28 @@
 from cranklane.runtime.interface import Runtime
 
 BEGIN_SECONDS = 1.5
-"""Seconds a once-call waits for the ledger at most. A choice: longer than the
-election of a new leader."""
+"""Longest wait for the ledger's decision in seconds; longer than a leader election."""
 
 LEASE_SECONDS = 3.0
-"""Seconds from asking the ledger until the first byte must have gone to the worker. A node
-that was frozen in between does not run the call any more. A choice: twice BEGIN_SECONDS."""
+"""Seconds from the request to the ledger until the call must have been sent to the worker.
+Prevents a late run after the node was suspended in between."""
 
 FINISH_SECONDS = 10.0
-"""Seconds for which storing an outcome is tried. A choice: longer than an election; after it
-the entry reads as unknown, which is safe."""
+"""Seconds to keep trying to store an outcome; longer than a leader election. Afterwards the
+ledger reports the outcome as unknown, which is safe."""
 
 FINISH_PAUSE_SECONDS = 0.5
-"""Seconds between these tries. A choice: a group without a leader is not flooded by nodes."""
+"""Seconds between attempts to store an outcome; spares a group without a leader."""
 
 _ATTEMPT_BITS = 64
-"""Random bits of an attempt's number: what its field in the record takes."""
+"""Random bits of an attempt's number; the width of its record field."""
 
 
 @dataclass(frozen=True)
 class OnceRefusal:
-    """Why a once-call does not run here and now.
+    """A once-call that must not run, with the outcome to report.
 
-    :ivar stored: the answer of the run before it, when there is one.
+    :ivar stored: the stored answer of an earlier run, or None.
     """
 
     outcome: Outcome
@@ -55,22 +54,22 @@
 
 
 @dataclass
-class OnceTicket:
-    """The right of one attempt to run a once-call.
+class OnceLease:
+    """Permission from the ledger for one attempt to run a once-call.
 
-    :ivar fence: monotonic second after which it must not start.
+    :ivar expires_at: monotonic second after which the run must not start.
     """
 
     calls: OnceCalls
     group: str
     attempt: int
     message: CallOpen
-    fence: float
+    expires_at: float
     _finished: bool = field(default=False)
 
     def may_start(self) -> bool:
-        """Return whether the call may still start."""
-        return self.calls.runtime.monotonic() < self.fence
+        """Return whether the lease is still valid."""
+        return self.calls.runtime.monotonic() < self.expires_at
 
     def finish(
         self,
@@ -79,11 +78,11 @@
         headers: list[tuple[str, str]] | None = None,
         body: bytes = b"",
     ) -> None:
-        """Store how the call ended, without waiting; only the first outcome counts."""
+        """Store the call's outcome in the background; only the first outcome is stored."""
         if self._finished:
             return
         self._finished = True
-        if len(body) > MAX_STORED_BODY:
+        if len(body) > MAX_STORED_BODY_BYTES:
             outcome, body = Outcome.UNKNOWN, b""
         message = self.message
         request = LedgerFinish(
@@ -100,65 +99,65 @@
 
 
 class OnceCalls:
-    """The once-calls of one node.
+    """Runs the ledger protocol for a node's once-calls.
 
-    :ivar storing: outcomes that the ledger has not taken yet.
+    :ivar pending_stores: number of outcomes not yet stored in the ledger.
     """
 
     def __init__(self, runtime: Runtime, client: LedgerClient) -> None:
         self.runtime = runtime
-        self.storing = 0
+        self.pending_stores = 0
         self._client = client
 
     def begin(
         self, message: CallOpen, ledgers: Sequence[str], remaining: float
-    ) -> Result[OnceTicket, OnceRefusal]:
-        """Ask the ledger whether a call may run.
+    ) -> Result[OnceLease, OnceRefusal]:
+        """Request a lease for a call from the ledger.
 
-        :param ledgers: groups of the service's once-calls.
+        :param ledgers: names of the ledger groups of the called service.
         :param remaining: seconds until the call's deadline.
         """
         if not message.key:
             return Err(OnceRefusal(Outcome.NOT_RUN, Reason.KEY_MISSING))
-        ticket = OnceTicket(
+        lease = OnceLease(
             self,
             ledger_group(message.key, ledgers),
             self.runtime.random.getrandbits(_ATTEMPT_BITS),
             message,
             self.runtime.monotonic() + LEASE_SECONDS,
         )
-        request = _begin_request(ticket, remaining)
-        asked = self._client.begin(ticket.group, request, min(BEGIN_SECONDS, remaining))
-        if isinstance(asked, Err):
-            return Err(self._unavailable(ticket, asked.err_value.not_run))
-        return _decided(ticket, asked.ok_value)
+        request = _begin_request(lease, remaining)
+        granted = self._client.begin(lease.group, request, min(BEGIN_SECONDS, remaining))
+        if isinstance(granted, Err):
+            return Err(self._unavailable(lease, granted.err_value.not_run))
+        return _grant_result(lease, granted.ok_value)
 
     @staticmethod
-    def _unavailable(ticket: OnceTicket, not_run: bool) -> OnceRefusal:
+    def _unavailable(lease: OnceLease, not_run: bool) -> OnceRefusal:
         if not_run:
             return OnceRefusal(Outcome.NOT_RUN, Reason.LEDGER_UNAVAILABLE, LEDGER_MS)
-        # The entry may have been created: let the key be free again if it was.
-        ticket.finish(Outcome.NOT_RUN)
+        # The ledger may have created the entry: delete it, so that the key can be used again.
+        lease.finish(Outcome.NOT_RUN)
         return OnceRefusal(Outcome.UNKNOWN, Reason.LEDGER_UNAVAILABLE, LEDGER_MS)
 
     def store(self, group: str, request: LedgerFinish) -> None:
-        """Store an outcome, trying for :data:`FINISH_SECONDS`."""
-        until = self.runtime.monotonic() + FINISH_SECONDS
-        self.storing += 1
+        """Store an outcome; retry for :data:`FINISH_SECONDS`."""
+        deadline = self.runtime.monotonic() + FINISH_SECONDS
+        self.pending_stores += 1
         try:
-            while self.runtime.monotonic() < until:
+            while self.runtime.monotonic() < deadline:
                 done = self._client.finish(group, request, BEGIN_SECONDS)
-                # An entry that is to be freed may be created later than this: the
-                # request for it may still be on its way.
+                # Keep trying to delete a missing entry: the delayed request to create it may
+                # still arrive.
                 if done is not None and (done.stored or request.outcome != Outcome.NOT_RUN):
                     return
                 gevent.sleep(FINISH_PAUSE_SECONDS)
         finally:
-            self.storing -= 1
+            self.pending_stores -= 1
 
 
 def ledger_group(key: str, ledgers: Sequence[str]) -> str:
-    """Return the ledger group that keeps a key, or nothing when the service has none.
+    """Return the ledger group for a key, or an empty string if the service has none.
 
     >>> ledger_group("k-1", ["only"]), ledger_group("k-1", [])
     ('only', '')
@@ -166,10 +165,10 @@
     return ledgers[zlib.crc32(key.encode()) % len(ledgers)] if ledgers else ""
 
 
-def _begin_request(ticket: OnceTicket, remaining: float) -> LedgerBegin:
-    message = ticket.message
+def _begin_request(lease: OnceLease, remaining: float) -> LedgerBegin:
+    message = lease.message
     return LedgerBegin(
-        attempt=ticket.attempt,
+        attempt=lease.attempt,
         lease_ms=int(LEASE_SECONDS * MILLISECONDS),
         run_ms=int(remaining * MILLISECONDS),
         digest=request_digest(message),
@@ -180,16 +179,16 @@
 
 
 def request_digest(message: CallOpen) -> bytes:
-    """Return the digest that distinguishes requests under the same key."""
+    """Return a digest of the request, which reveals another request with the same key."""
     digest = hashlib.sha256(f"{message.method} {message.path}\n".encode())
     digest.update(message.body)
     return digest.digest()
 
 
-def _decided(ticket: OnceTicket, grant: LedgerGrant) -> Result[OnceTicket, OnceRefusal]:
+def _grant_result(lease: OnceLease, grant: LedgerGrant) -> Result[OnceLease, OnceRefusal]:
     match LedgerDecision(grant.decision):
         case LedgerDecision.RUN:
-            return Ok(ticket)
+            return Ok(lease)
         case LedgerDecision.ANSWERED:
             return Err(OnceRefusal(Outcome.ANSWERED, Reason.NONE, stored=grant))
         case LedgerDecision.IN_PROGRESS:
--- a/src/cranklane/node/outbound.py
+++ b/src/cranklane/node/outbound.py
@@ -1,9 +1,8 @@
-"""Makes calls: checks what the policy allows, retries within bounds, reports what is known.
+"""Makes outbound calls: checks the policy, retries failed attempts, returns the answer.
 
-Owns the retry budget of each called service. Relies on
-:mod:`~cranklane.node.retry_rule` for what follows a failed attempt, on
-:mod:`~cranklane.node.early_refusal` for calls that are not worth an attempt, and on
-:mod:`~cranklane.node.attempt` for each attempt.
+Keeps the retry budget of each called service. :mod:`~cranklane.node.early_refusal` refuses
+calls without an attempt, :mod:`~cranklane.node.attempt` makes the attempts, and
+:mod:`~cranklane.node.retry_rule` decides on retries.
 """
 
 from __future__ import annotations
@@ -11,24 +10,24 @@
 from http import HTTPStatus
 
 from cranklane.node import retry_after
-from cranklane.node.answer import Answer, Request, refused
+from cranklane.node.answer import Answer, Request, refused_answer
 from cranklane.node.attempt import AttemptSender, OutboundCall
 from cranklane.node.context import MAX_DEPTH, CallContext
 from cranklane.node.early_refusal import EarlyRefusal
 from cranklane.node.members import MemberTable
 from cranklane.node.metrics import NodeMetrics
 from cranklane.node.retry_budget import RetryBudget
-from cranklane.node.retry_rule import NextStep, next_step, pay_for_retry
+from cranklane.node.retry_rule import NextStep, next_step, spend_retry
 from cranklane.outcome import Criticality, Outcome, Reason, Repeat
 from cranklane.policy.adopted_policy import AdoptedPolicy, Route, Service
 from cranklane.runtime.interface import Runtime
 
 _FIRST_ATTEMPT = "first"
-"""Kind of a call's first attempt in metrics; further kinds are values of NextStep."""
+"""Metrics label of a call's first attempt; later attempts use the values of NextStep."""
 
 
 class Outbound:
-    """The calling half of a node."""
+    """Client for a node's calls to services."""
 
     def __init__(
         self,
@@ -47,7 +46,7 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     def call(self, context: CallContext, request: Request) -> Answer:
-        """Make a call and return how it ended; the body may still be on its way."""
+        """Make a call and return its answer; the body may still be arriving."""
         service = self._configuration.service(request.tenant, request.service)
         route = service.route(request.method, request.path.partition("?")[0]) if service else None
         if service is None or route is None:
@@ -63,7 +62,7 @@
             answer.outcome is not Outcome.ANSWERED
             or answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         ):
-            context.failed.add(request.target)
+            context.failed_targets.add(request.target)
         self._metrics.call(service.full_name, answer.outcome, answer.reason, criticality)
         return answer
 
@@ -71,7 +70,7 @@
         self._metrics.call(
             f"{request.tenant}.{request.service}", Outcome.NOT_RUN, reason, criticality
         )
-        return refused(reason)
+        return refused_answer(reason)
 
     def _forbidden(
         self, context: CallContext, request: Request, service: Service, route: Route
@@ -84,9 +83,9 @@
             return Reason.KEY_MISSING
         if context.cancelled is not None:
             return context.cancelled
-        # The worker repeats a call that this node has given up on: that is a
-        # retry of the same root request, whoever makes it.
-        if request.target in context.failed and not context.allowance.spend():
+        # A call to the target of a failed call is the worker's own retry, so it spends one of
+        # the root request's retries.
+        if request.target in context.failed_targets and not context.allowance.spend():
             return Reason.RETRIES_EXHAUSTED
         return None
 
@@ -94,8 +93,8 @@
         if request.caller not in service.callers:
             return False
         tenant, _, name = request.caller.partition(".")
-        calling = self._configuration.service(tenant, name)
-        return calling is None or service.full_name in calling.calls
+        calling_service = self._configuration.service(tenant, name)
+        return calling_service is None or service.full_name in calling_service.calls
 
     def _call_with_retries(self, call: OutboundCall) -> Answer:
         service = call.service
@@ -103,7 +102,7 @@
         budget.called(service.retry_ratio)
         members = self._members.of(service.tenant, service.name)
         if self._early_refusal.refuses(members, call.context.tenant, call.criticality):
-            return refused(Reason.REFUSED_EARLY, retry_after.DEFAULT_MS)
+            return refused_answer(Reason.REFUSED_EARLY, retry_after.DEFAULT_MS)
         kind = _FIRST_ATTEMPT
         while True:
             self._metrics.attempt(service.full_name, kind)
@@ -120,12 +119,11 @@
     def _next_step(self, call: OutboundCall, answer: Answer, budget: RetryBudget) -> NextStep:
         context = call.context
         if context.cancelled is not None or self._runtime.monotonic() >= context.deadline:
-            # Nobody waits any more.
             return NextStep.FINISH
         step = next_step(answer.outcome, answer.reason, call.route.repeat, call.redirects)
         if step is NextStep.REDIRECT:
             call.redirects += 1
-        elif step is NextStep.RETRY and not pay_for_retry(context.allowance, budget):
+        elif step is NextStep.RETRY and not spend_retry(context.allowance, budget):
             return NextStep.FINISH
         return step
 
--- a/src/cranklane/node/peer_call.py
+++ b/src/cranklane/node/peer_call.py
@@ -1,7 +1,7 @@
-"""One call on a connection to a destination node, used by the task that made it.
+"""Calling side of one call on a connection to a destination node.
 
-Owns what has come of the answer and was not read yet. Relies on
-:mod:`~cranklane.node.peer_connection` to send records.
+Buffers the received records of the answer. :mod:`~cranklane.node.peer_connection` sends and
+receives the records.
 """
 
 from __future__ import annotations
@@ -26,26 +26,26 @@
 )
 
 WINDOW_BYTES = 256 * 1024
-"""Body bytes a destination may send ahead of the caller. A choice: what a call may cost in
-memory; most answers fit in whole."""
+"""Flow-control window: body bytes a destination may send before the caller reads them. Bounds
+the memory of a call."""
 
 CREDIT_BYTES = WINDOW_BYTES // 4
-"""Body bytes read before the destination is granted as many again. A choice: a quarter of the
-window, so that the sender does not run dry while the grant is on its way."""
+"""Body bytes read before the caller grants them again as credit. Part of the window, so that
+the sender can continue while the credit is in transit."""
 
 
 class CallChannel(Protocol):
-    """What a call needs of its connection."""
+    """The methods of a connection that a call uses."""
 
     def end(self, call: PeerCall) -> None:
-        """Take no more records for a call."""
+        """Stop delivering records to a call."""
 
     def send_quietly(self, message: Message, number: int) -> None:
-        """Send a record that need not arrive."""
+        """Send a record; ignore a lost connection."""
 
 
 class CallCancelledError(Exception):
-    """Nobody waits for the call any more."""
+    """The call was cancelled."""
 
     def __init__(self, reason: Reason) -> None:
         super().__init__(reason.label)
@@ -53,10 +53,11 @@
 
 
 class PeerCall:
-    """One call on a connection, used by the task that made it.
+    """A call on a connection; only the task that opened it reads the answer.
 
-    :ivar is_whole: whether the end of the answer has come, so that reading its
-        body does not wait.
+    :ivar unused_allowance: retries that the called node returned unused with the answer.
+    :ivar is_complete: whether the whole answer has arrived, so that reading its body does not
+        block.
     """
 
     def __init__(self, connection: CallChannel, number: int) -> None:
@@ -65,15 +66,15 @@
         self._ended = False
         self.number = number
         self.unused_allowance = 0
-        self.is_whole = False
+        self.is_complete = False
 
     def deliver(self, item: Message | Exception) -> None:
-        """Hand a record or an error to the call's task."""
-        self.is_whole |= isinstance(item, AnswerEnd)
+        """Queue a record or an error for the call's task."""
+        self.is_complete |= isinstance(item, AnswerEnd)
         self._inbox.put(item)
 
     def cancel(self, reason: Reason) -> None:
-        """Cancel the call at the destination, and end the call's own wait."""
+        """Cancel the call at the destination and wake the task that reads the answer."""
         if self._ended:
             return
         self._connection.end(self)
@@ -82,60 +83,60 @@
         self._inbox.put(CallCancelledError(reason))
 
     def head(self, timeout: float) -> AnswerHead:
-        """Return the answer's head.
+        """Wait for the answer's head and return it.
 
         :param timeout: seconds to wait.
-        :raises gevent.Timeout: when the time is up.
+        :raises gevent.Timeout: when the head does not arrive in time.
         :raises ConnectionLostError: when the connection is lost.
         :raises CallCancelledError: when the call was cancelled.
         """
         with gevent.Timeout(max(0.0, timeout)):
-            item = self._inbox.get()
-        if isinstance(item, Exception):
-            raise item
-        if not isinstance(item, AnswerHead):
-            raise ConnectionLostError(f"{type(item).__name__} came before the answer's head")
-        return item
+            received = self._inbox.get()
+        if isinstance(received, Exception):
+            raise received
+        if not isinstance(received, AnswerHead):
+            raise ConnectionLostError(f"{type(received).__name__} received instead of AnswerHead")
+        return received
 
     def body(self, stall_timeout: float) -> Iterator[bytes]:
-        """Yield the answer's body, checking that it is whole and in order.
+        """Yield the chunks of the answer's body, checking its order, length and checksum.
 
-        :param stall_timeout: seconds without any piece after which it counts as cut.
-        :raises AnswerCutError: when the answer is not whole.
+        :param stall_timeout: seconds to wait for each chunk.
+        :raises AnswerCutError: when the body is truncated or malformed.
         """
         sequence = length = checksum = uncredited = 0
         while True:
-            item = self._next_piece(stall_timeout)
-            if isinstance(item, AnswerEnd):
-                self._finish(item.allowance)
-                if (item.length, item.checksum) != (length, checksum):
+            record = self._next_record(stall_timeout)
+            if isinstance(record, AnswerEnd):
+                self._finish(record.allowance)
+                if (record.length, record.checksum) != (length, checksum):
                     raise AnswerCutError("the body does not match its length and checksum")
                 return
-            if isinstance(item, AnswerAbort):
-                self._finish(item.allowance)
-                raise AnswerCutError(Reason(item.reason).label)
-            if not isinstance(item, AnswerBody) or item.sequence != sequence:
+            if isinstance(record, AnswerAbort):
+                self._finish(record.allowance)
+                raise AnswerCutError(Reason(record.reason).label)
+            if not isinstance(record, AnswerBody) or record.sequence != sequence:
                 self.cancel(Reason.ANSWER_CUT)
-                raise AnswerCutError("pieces of the body are missing, doubled or out of order")
+                raise AnswerCutError("chunks of the body are missing, duplicated or out of order")
             sequence += 1
-            length += len(item.data)
-            checksum = zlib.crc32(item.data, checksum)
-            yield item.data
-            uncredited += len(item.data)
+            length += len(record.data)
+            checksum = zlib.crc32(record.data, checksum)
+            yield record.data
+            uncredited += len(record.data)
             if uncredited >= CREDIT_BYTES:
                 self._connection.send_quietly(Credit(uncredited), self.number)
                 uncredited = 0
 
-    def _next_piece(self, stall_timeout: float) -> Message:
+    def _next_record(self, stall_timeout: float) -> Message:
         try:
             with gevent.Timeout(stall_timeout):
-                item = self._inbox.get()
+                received = self._inbox.get()
         except gevent.Timeout as error:
             self.cancel(Reason.ANSWER_CUT)
-            raise AnswerCutError("no piece of the body came in time") from error
-        if isinstance(item, Exception):
-            raise AnswerCutError(str(item)) from item
-        return item
+            raise AnswerCutError("no chunk of the body arrived in time") from error
+        if isinstance(received, Exception):
+            raise AnswerCutError(str(received)) from received
+        return received
 
     def _finish(self, allowance: int) -> None:
         self.unused_allowance = allowance
@@ -143,6 +144,6 @@
         self._connection.end(self)
 
     def close(self) -> None:
-        """Forget the call; cancels it when its answer has not ended."""
+        """Close the call; cancel it if its answer has not ended."""
         if not self._ended:
             self.cancel(Reason.CANCELLED)
--- a/src/cranklane/node/peer_connection.py
+++ b/src/cranklane/node/peer_connection.py
@@ -1,8 +1,8 @@
-"""The calling side of a connection to one destination node.
+"""Calling side of a connection to one destination node.
 
-Many calls share the connection. One task reads; each call's own task sends and
-waits. A call's number is never used again on its connection, so a late record
-finds no call and is dropped.
+Many calls share the connection. One task reads all records; each call's task sends its records
+and waits for the answer. Call numbers are never reused on a connection, so a late record
+matches no call and is dropped.
 """
 
 from __future__ import annotations
@@ -25,24 +25,23 @@
 from cranklane.runtime.interface import Address, Runtime
 
 PING_SECONDS = 1.0
-"""Seconds between pings on a connection. A choice: the reports of load that answer them stay
-current, and an idle pair of nodes costs little."""
+"""Seconds between pings on a connection; each is answered with a load report."""
 
 SILENT_SECONDS = 3.0
-"""Seconds without a byte after which a destination counts as lost. A choice: three pings."""
+"""Seconds without a byte after which a connection counts as lost; several pings long."""
 
 
 class PeerConnection:
-    """A connection to one destination node.
+    """Connection to one destination node.
 
-    :ivar going_away: the destination takes no new calls here.
+    :ivar going_away: whether the destination has announced that it accepts no new calls.
     """
 
     def __init__(
         self,
         runtime: Runtime,
         address: Address,
-        own: Hello,
+        hello: Hello,
         connect_timeout: float,
         on_load: Callable[[LoadReport], None],
         version: Callable[[], int],
@@ -50,7 +49,7 @@
         connection = runtime.connect(address, connect_timeout)
         self._runtime = runtime
         self._records = RecordConnection(connection, SILENT_SECONDS)
-        self.peer = self._records.greet(own)
+        self.peer = self._records.greet(hello)
         self._records.set_silent_after(None)
         self._calls: dict[int, PeerCall] = {}
         self._next_number = CONNECTION_CALL
@@ -68,16 +67,16 @@
     def open(self, message: CallOpen) -> PeerCall:
         """Open a call.
 
-        :raises ConnectionLostError: when nothing of it was sent.
+        :raises ConnectionLostError: when the connection was closed before anything was sent.
         """
         self._next_number += 1
         call = PeerCall(self, self._next_number)
         self._calls[call.number] = call
         if self._records.closed:
             self.end(call)
-            raise ConnectionLostError("connection is closed")
-        # From here on part of the record may be on its way: a failure goes to the call,
-        # whose outcome is then unknown.
+            raise ConnectionLostError("the connection is closed")
+        # A failed send may have sent part of the record, so the call's outcome is unknown:
+        # deliver the error to the call instead of raising it.
         try:
             self._records.send(message, call.number)
         except ConnectionLostError as error:
@@ -85,26 +84,26 @@
         return call
 
     def end(self, call: PeerCall) -> None:
-        """Take no more records for a call."""
+        """Stop delivering records to a call."""
         self._calls.pop(call.number, None)
 
     def send_quietly(self, message: Message, number: int) -> None:
-        """Send a record that need not arrive."""
+        """Send a record; ignore a lost connection."""
         try:
             self._records.send(message, number)
         except ConnectionLostError:
-            # The task that reads notices it too, and ends all calls on the connection.
+            # The reading task detects the loss as well and fails all calls on the connection.
             pass
 
     def _read(self) -> None:
         try:
             while True:
                 number, message = self._records.receive()
-                self._take(number, message)
+                self._handle_record(number, message)
         except (ConnectionLostError, MalformedRecordError) as error:
-            self._lost(error)
+            self._fail_calls(error)
 
-    def _take(self, number: int, message: Message) -> None:
+    def _handle_record(self, number: int, message: Message) -> None:
         if number == CONNECTION_CALL:
             if isinstance(message, LoadReport):
                 self._on_load(message)
@@ -115,7 +114,7 @@
         if call is not None:
             call.deliver(message)
 
-    def _lost(self, error: Exception) -> None:
+    def _fail_calls(self, error: Exception) -> None:
         self._records.close()
         calls = list(self._calls.values())
         self._calls.clear()
@@ -130,5 +129,5 @@
             watch.look(self._runtime.monotonic())
 
     def close(self) -> None:
-        """Close the connection; its calls end as lost."""
+        """Close the connection, which fails its calls with ConnectionLostError."""
         self._records.close()
--- a/src/cranklane/node/peers.py
+++ b/src/cranklane/node/peers.py
@@ -1,7 +1,4 @@
-"""Connections to destination nodes, opened when first needed.
-
-Owns them; :mod:`~cranklane.node.peer_connection` is one of them.
-"""
+"""Pool of connections to destination nodes."""
 
 from __future__ import annotations
 
@@ -15,17 +12,16 @@
 from cranklane.records.messages import Hello, LoadReport
 from cranklane.runtime.interface import Runtime
 
-CONNECT_SECONDS = 0.5
-"""Seconds a destination has to take a connection. A choice: several round trips between
-regions; a dead machine delays a call no longer."""
+CONNECT_TIMEOUT_SECONDS = 0.5
+"""Seconds to connect to a destination; several round trips between regions."""
 
 
 class PeerPool:
-    """One connection to each destination node.
+    """One connection for each destination node, opened on first use.
 
-    :param hello: returns this node's greeting.
-    :param version: returns the configuration version in force here.
-    :param on_newer: called when a member shows a newer version.
+    :param hello: returns this node's Hello record.
+    :param version: returns this node's active configuration version.
+    :param on_newer_version: called when a member reports a newer configuration version.
     """
 
     def __init__(
@@ -33,29 +29,29 @@
         runtime: Runtime,
         hello: Callable[[], Hello],
         version: Callable[[], int],
-        on_newer: Callable[[], None],
+        on_newer_version: Callable[[], None],
     ) -> None:
         self._runtime = runtime
         self._hello = hello
         self._version = version
-        self._on_newer = on_newer
+        self._on_newer_version = on_newer_version
         self._connections: dict[tuple[str, int], PeerConnection] = {}
-        self._dialling: dict[tuple[str, int], Semaphore] = {}
+        self._connect_locks: dict[tuple[str, int], Semaphore] = {}
 
     def connection(self, member: MemberView, timeout: float) -> PeerConnection:
-        """Return the connection to a member, dialling when there is none.
+        """Return the connection to a member; open one if there is none.
 
-        :param timeout: seconds left for the call.
-        :raises ConnectionLostError: when the member cannot be reached.
+        :param timeout: seconds until the call's deadline.
+        :raises ConnectionLostError: when the connection fails.
         """
         key = (member.node, member.incarnation)
         connection = self._connections.get(key)
         if connection is not None and connection.usable:
             return connection
-        with self._dialling.setdefault(key, Semaphore()):
+        with self._connect_locks.setdefault(key, Semaphore()):
             connection = self._connections.get(key)
             if connection is None or not connection.usable:
-                connection = self._dial(member, min(CONNECT_SECONDS, timeout))
+                connection = self._dial(member, min(CONNECT_TIMEOUT_SECONDS, timeout))
                 self._connections[key] = connection
         return connection
 
@@ -72,18 +68,20 @@
             raise ConnectionLostError(str(error)) from error
         if connection.peer.incarnation != member.incarnation:
             connection.close()
-            raise ConnectionLostError("another incarnation answers at the member's address")
+            raise ConnectionLostError(
+                "another incarnation of the node answered at the member's address"
+            )
         self._check_version(connection.peer.version)
         return connection
 
     def _check_version(self, version: int) -> None:
         if version > self._version():
-            self._on_newer()
+            self._on_newer_version()
 
     def forget(self, member: MemberView) -> None:
-        """Drop the connection of a member that is gone."""
+        """Close the connection to a removed member."""
         key = (member.node, member.incarnation)
-        self._dialling.pop(key, None)
+        self._connect_locks.pop(key, None)
         connection = self._connections.pop(key, None)
         if connection is not None:
             connection.close()
--- a/src/cranklane/node/process.py
+++ b/src/cranklane/node/process.py
@@ -1,7 +1,4 @@
-"""A node or an edge: its parts put together, started, drained and stopped.
-
-Owns the parts and the order in which they start and stop.
-"""
+"""A node or edge process: wires its parts together, starts, drains and stops them."""
 
 from __future__ import annotations
 
@@ -18,7 +15,7 @@
 from cranklane.node.attempt import AttemptSender
 from cranklane.node.balancer import Balancer
 from cranklane.node.call_runner import CallRunner
-from cranklane.node.callers import Callers
+from cranklane.node.callers import CallerServer
 from cranklane.node.callers_port import open_when_free
 from cranklane.node.context import ContextTable
 from cranklane.node.inbound import Inbound
@@ -27,34 +24,33 @@
 from cranklane.node.metrics import NodeMetrics
 from cranklane.node.once import OnceCalls
 from cranklane.node.outbound import Outbound
-from cranklane.node.own_service import OwnService
 from cranklane.node.peers import PeerPool
 from cranklane.node.settings import NodeSettings
 from cranklane.node.worker import WorkerClient
+from cranklane.node.worker_service import WorkerService
 from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane.records.messages import Heartbeat, Hello, MemberDelta, Subscribe
 from cranklane.runtime.interface import Runtime, format_address, parse_address
 
 IDLE_GRACE_SECONDS = 10.0
-"""Seconds that clients' kept connections to an edge stay open after the last call. A choice:
-most clients send their next request within it, and are asked to close with its answer."""
+"""Seconds that an edge keeps idle client connections open while stopping. Most clients send
+another request in that time, whose answer asks them to close the connection."""
 
 STOP_ANNOUNCE_SECONDS = 0.2
-"""Seconds between announcing to callers that the node stops and closing its port. A choice:
-the announcement reaches callers in other regions."""
+"""Seconds between announcing the stop to callers and closing the port; enough for the
+announcement to reach other regions."""
 
 CLIENT_CHECK_SECONDS = 0.05
-"""Seconds between looks at whether clients have closed. A choice: little beside the
-grace that they have."""
+"""Seconds between checks for open client connections while stopping."""
 
 IDLE_CHECK_SECONDS = 0.02
-"""Seconds between looks at whether calls are in flight. A choice: short beside a call."""
+"""Seconds between checks for calls in flight while stopping."""
 
 
 class NodeProcess:
-    """One node or edge.
+    """A node or an edge.
 
-    :ivar incarnation: distinguishes this process from earlier ones of its name.
+    :ivar incarnation: start time in milliseconds; distinguishes processes of the same name.
     """
 
     def __init__(self, runtime: Runtime, settings: NodeSettings) -> None:
@@ -87,9 +83,9 @@
         return Outbound(runtime, self.configuration, self.members, attempts, self.metrics)
 
     def start(self) -> None:
-        """Open the ports and follow control."""
+        """Open the ports and subscribe to control."""
         settings = self._settings
-        self.callers = Callers(
+        self.callers = CallerServer(
             self._runtime,
             settings.full_service,
             self.configuration,
@@ -120,7 +116,7 @@
         )
 
     def _listen_for_callers(self) -> HttpServer:
-        """Open the callers' port; beside a worker, wait until it is free."""
+        """Open the port for callers; a node with a worker waits until it is free."""
         settings = self._settings
         address = parse_address(settings.http)
         if not settings.service:
@@ -137,7 +133,7 @@
         settings = self._settings
         runner = CallRunner(
             self._runtime,
-            OwnService(settings.full_service, self.configuration),
+            WorkerService(settings.full_service, self.configuration),
             self.admission,
             WorkerClient(self._runtime, parse_address(settings.worker)),
             self.contexts,
@@ -184,7 +180,7 @@
         )
 
     def state(self) -> MemberState:
-        """Return the node's own state."""
+        """Return the node's member state."""
         return MemberState.DRAINING if self.admission.draining else MemberState.LIVE
 
     def _hello(self) -> Hello:
@@ -220,7 +216,7 @@
         self._log.info("configuration_in_force", version=self.configuration.version)
 
     def drain(self) -> None:
-        """Take no new calls for the worker, and announce that to control and callers."""
+        """Refuse new calls for the worker and announce it to control and callers."""
         if self.admission.draining:
             return
         self.admission.draining = True
@@ -230,9 +226,9 @@
         self._log.info("draining")
 
     def stop(self) -> bool:
-        """Stop as planned: finish what is in flight, within the stated maximum.
+        """Drain, then stop; wait at most ``stop_seconds`` for calls in flight.
 
-        :returns: whether everything in flight was finished.
+        :returns: whether all calls in flight finished.
         """
         if self._stopping:
             return True
@@ -241,15 +237,15 @@
         self.drain()
         if self.inbound is None:
             self.http.stop_accepting()
-        # Beside a worker the port stays open: the worker's child calls need it.
+        # With a worker, keep the port open for the child calls of running calls.
         gevent.sleep(STOP_ANNOUNCE_SECONDS)
         self.subscription.stop()
         if self.inbound is not None:
             self._listener.close()
         finished = self._wait_until_idle()
         if self.inbound is None:
-            # A client may be sending on a kept connection right now: it still
-            # gets an answer, and is asked to close.
+            # Clients may still send requests on idle connections; answer these, and ask the
+            # clients to close.
             self._wait_for_clients_to_close()
             finished = self._wait_until_idle() and finished
         self.http.stop_accepting()
@@ -258,18 +254,18 @@
         return finished
 
     def _wait_for_clients_to_close(self) -> None:
-        until = self._runtime.monotonic() + IDLE_GRACE_SECONDS
-        while self.http.connections and self._runtime.monotonic() < until:
+        deadline = self._runtime.monotonic() + IDLE_GRACE_SECONDS
+        while self.http.connections and self._runtime.monotonic() < deadline:
             gevent.sleep(CLIENT_CHECK_SECONDS)
 
     def _in_flight(self) -> int:
         inbound = self.inbound.calls if self.inbound is not None else 0
-        return inbound + self.callers.calls + self.once.storing
+        return inbound + self.callers.calls + self.once.pending_stores
 
     def _wait_until_idle(self) -> bool:
-        until = self._runtime.monotonic() + self._settings.stop_seconds
+        deadline = self._runtime.monotonic() + self._settings.stop_seconds
         while self._in_flight():
-            if self._runtime.monotonic() >= until:
+            if self._runtime.monotonic() >= deadline:
                 return False
             gevent.sleep(IDLE_CHECK_SECONDS)
         return True
--- a/src/cranklane/node/retry_after.py
+++ b/src/cranklane/node/retry_after.py
@@ -1,23 +1,21 @@
-"""When a refused call may be retried: the one place that decides ``Retry-After`` on the node.
-
-Owns every constant and function of that decision; whoever refuses a call puts the result into
-its ``retry_after_ms``. The sidecar's table (:mod:`~cranklane.sidecar.admission.retry_after`)
-has other causes and bounds.
-
-==============================  ====================================================
-refused because                 the caller is asked to wait
-==============================  ====================================================
-the queue is long, or the call  until it would have had a slot,
-would be done too late          :data:`MIN_QUEUE_MS` to :data:`MAX_QUEUE_MS`
-the node drains                 :data:`DRAINING_MS`
-the worker refused or failed    as long as a call takes in the worker
-the ledger does not answer, or  :data:`LEDGER_MS`
-another attempt is running
-anything else                   :data:`DEFAULT_MS`
-==============================  ====================================================
-
-A call whose deadline has passed, or that no retry can help, is given no time by the called
-node; its caller's node states :data:`DEFAULT_MS` when the call was not run.
+"""Retry delays of refused calls, sent to callers as ``Retry-After``.
+
+==================================  ==============================================
+Cause of the refusal                Retry delay
+==================================  ==============================================
+queue full, evicted from the queue  the estimated queueing delay, from
+or deadline too near                :data:`MIN_QUEUE_MS` to :data:`MAX_QUEUE_MS`
+node draining                       :data:`DRAINING_MS`
+worker refused or failed            the worker's service time
+ledger unavailable, or another      :data:`LEDGER_MS`
+attempt in progress
+any other cause                     :data:`DEFAULT_MS`
+==================================  ==============================================
+
+The called node states no delay if the deadline has passed or a retry cannot succeed. The
+calling node then sets :data:`DEFAULT_MS` if the call was not run.
+
+The sidecar's delays are in :mod:`~cranklane.sidecar.admission.retry_after`.
 """
 
 from __future__ import annotations
@@ -25,27 +23,25 @@
 from cranklane.common.units import MILLISECONDS
 
 MIN_QUEUE_MS = 50
-"""Milliseconds at the earliest. A choice: about one service time, as assumed before the first
-one is measured."""
+"""Shortest retry delay in milliseconds after a refusal by the queue."""
 
 MAX_QUEUE_MS = 10_000
-"""Milliseconds at the latest. A choice: an estimate of a longer wait is not worth following."""
+"""Longest retry delay in milliseconds after a refusal by the queue."""
 
 DRAINING_MS = 50
-"""Milliseconds while the node drains. A choice: another member can take the call at once."""
+"""Retry delay in milliseconds while draining; short, as another member can run the call."""
 
 LEDGER_MS = 1000
-"""Milliseconds for a once-call. A choice: by then the ledger has a leader again."""
+"""Retry delay in milliseconds of a once-call; allows for a leader election of the ledger."""
 
 DEFAULT_MS = 200
-"""Milliseconds when the refusal states no time. A choice: long enough for another member to
-become known."""
+"""Retry delay in milliseconds if the refusal states none; allows for another member to join."""
 
 
 def after_queue(wait: float) -> int:
-    """Return the milliseconds for a call that is not queued.
+    """Return the retry delay in milliseconds after a refusal by the queue.
 
-    :param wait: seconds it would have waited for a slot.
+    :param wait: estimated queueing delay in seconds.
 
     >>> [after_queue(wait) for wait in (0.0, 1.5, 60.0)]
     [50, 1500, 10000]
@@ -54,8 +50,8 @@
 
 
 def after_worker(service_time: float) -> int:
-    """Return the milliseconds for a call that the worker refused or failed.
+    """Return the retry delay in milliseconds of a call that the worker refused or failed.
 
-    :param service_time: seconds that a call takes in the worker.
+    :param service_time: mean seconds a call takes in the worker.
     """
     return int(service_time * MILLISECONDS)
--- a/src/cranklane/node/retry_budget.py
+++ b/src/cranklane/node/retry_budget.py
@@ -1,22 +1,20 @@
-"""Limits the retries towards one service to a ratio of the calls for it.
+"""Limits a node's retries to one service to a fraction of its calls to that service.
 
-The sidecar's budget (:mod:`~cranklane.sidecar.routing.retry_budget`) is another rule: it
-keeps the operator's bound over the whole fleet in each window, while this one is a bound
-of each node by itself, stated by the policy of the called service.
+The called service's policy sets the fraction. The sidecar's fleet-wide budget is in
+:mod:`~cranklane.sidecar.routing.retry_budget`.
 """
 
 from __future__ import annotations
 
 MAX_TOKENS = 10.0
-"""Retries that a quiet service may get in a burst. A choice: enough for the calls in flight
-when one member fails."""
+"""Capacity of the token bucket; enough to retry the calls in flight when a member fails."""
 
 
 class RetryBudget:
-    """Token bucket filled by calls and emptied by retries.
+    """Token bucket: calls add a fraction of a token, each retry spends one token.
 
-    The allowance bounds the retries of one root request; the budget bounds the retries that
-    a fault of a whole service causes while every request still has its allowance.
+    The allowance limits the retries of one root request; the budget limits the retries of all
+    requests when a whole service fails.
 
     >>> budget = RetryBudget()
     >>> all(budget.spend() for _ in range(10)), budget.spend()
@@ -27,14 +25,14 @@
         self._tokens = MAX_TOKENS
 
     def called(self, ratio: float) -> None:
-        """Count a call.
+        """Add tokens for a call.
 
-        :param ratio: retries allowed for each call.
+        :param ratio: retries allowed per call.
         """
         self._tokens = min(MAX_TOKENS, self._tokens + ratio)
 
     def spend(self) -> bool:
-        """Take one retry; return False when the budget is empty."""
+        """Spend a token on a retry; return False if none is left."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/cranklane/node/retry_rule.py
+++ b/src/cranklane/node/retry_rule.py
@@ -1,10 +1,8 @@
-"""Decides what follows an attempt that got no answer: a retry, a redirect, or the end.
+"""Decides whether an attempt without an answer is followed by a retry or a redirect.
 
-Owns the table from outcome and reason to the next step. What a retry costs is kept by
-:mod:`~cranklane.node.allowance` (the root request's) and
-:mod:`~cranklane.node.retry_budget` (the called service's). The sidecar's table
-(:mod:`~cranklane.sidecar.routing.retry_policy`) is another one: there a route bounds the
-attempts, an answer can be retried too, and requests suspected of crashing workers are not.
+A retry spends from the root request's :mod:`~cranklane.node.allowance` and the called service's
+:mod:`~cranklane.node.retry_budget`. The sidecar's retry policy is
+:mod:`~cranklane.sidecar.routing.retry_policy`.
 """
 
 from __future__ import annotations
@@ -16,50 +14,49 @@
 from cranklane.outcome import Outcome, Reason, Repeat
 
 MAX_REDIRECTS = 3
-"""Attempts of one call that are made up for without a retry, since the destination did not
-take the call. A choice: a planned stop of several members passes unnoticed, and a service
-of which all members leave is given up on soon."""
+"""Redirects allowed per call. Hides a planned stop of several members, and ends soon if all
+members of a service leave."""
 
 
 class NextStep(Enum):
-    """What follows an attempt; the values are the attempt's kind in metrics."""
+    """Step after an attempt; its value is the next attempt's kind in metrics."""
 
     FINISH = "finish"
-    """The attempt's end is the call's."""
+    """No further attempt: return the answer."""
     RETRY = "retry"
-    """Another attempt, paid for by the allowance and the retry budget."""
+    """Another attempt that spends from the allowance and the retry budget."""
     REDIRECT = "redirect"
-    """Another attempt for free: the destination did not take the call."""
+    """Another attempt that spends nothing, as the destination did not accept the call."""
 
 
 _REDIRECTED = frozenset(
     {
-        # It leaves, and takes no new calls.
+        # The member is stopping and accepts no new calls.
         Reason.DRAINING,
         Reason.STOPPING,
-        # No connection: it may be gone without control knowing yet.
+        # The member may have failed before control detected it.
         Reason.PEER_UNREACHABLE,
     }
 )
 
 _RETRIED = frozenset(
     {
-        # It is loaded, and another member may be less so.
+        # Another member may be less loaded.
         Reason.QUEUE_FULL,
         Reason.QUEUE_EVICTED,
         Reason.DEADLINE_TOO_NEAR,
         Reason.WORKER_SHED,
-        # Its worker is gone, and that of another member may be there.
+        # The worker of another member may be reachable.
         Reason.WORKER_UNREACHABLE,
     }
 )
 
 
 def next_step(outcome: Outcome, reason: Reason, repeat: Repeat, redirects: int) -> NextStep:
-    """Return what follows an attempt without an answer, while somebody still waits.
+    """Return the step after an attempt without an answer, if the deadline has not passed.
 
-    :param repeat: whether the route's work may run again.
-    :param redirects: redirects of this call so far.
+    :param repeat: whether the route allows a second run.
+    :param redirects: number of redirects of this call so far.
 
     >>> next_step(Outcome.NOT_RUN, Reason.DRAINING, Repeat.ONCE, 0)
     <NextStep.REDIRECT: 'redirect'>
@@ -67,16 +64,16 @@
     <NextStep.FINISH: 'finish'>
     """
     if outcome is Outcome.UNKNOWN:
-        # The work may have run: only a route that allows it runs again.
+        # The worker may have run the call: retry only if the route allows a second run.
         return NextStep.RETRY if repeat is Repeat.REPEATABLE else NextStep.FINISH
     if outcome is Outcome.NOT_RUN and reason in _REDIRECTED and redirects < MAX_REDIRECTS:
         return NextStep.REDIRECT
     if outcome is Outcome.NOT_RUN and reason in _RETRIED:
         return NextStep.RETRY
-    # Answered, or refused for a reason that holds at every member.
+    # Every member would refuse the call for the same reason.
     return NextStep.FINISH
 
 
-def pay_for_retry(allowance: Allowance, budget: RetryBudget) -> bool:
-    """Take one retry from both bounds; return False, and take none, when either is used up."""
+def spend_retry(allowance: Allowance, budget: RetryBudget) -> bool:
+    """Spend one retry from both limits; return False and spend nothing if either is exhausted."""
     return allowance.remaining > 0 and budget.spend() and allowance.spend()
--- a/src/cranklane/node/settings.py
+++ b/src/cranklane/node/settings.py
@@ -18,20 +18,22 @@
 
 @dataclass
 class NodeSettings:
-    """Settings of a node, or of an edge when no service is named."""
+    """Settings of a node, or of an edge if ``service`` is empty."""
 
     name: str = setting(NAME, help="name of this node, unique in the fleet")
-    zone: str = setting(NAME, help="zone this machine stands in")
-    controls: list[str] = setting(ADDRESSES, help="control processes to follow")
+    zone: str = setting(NAME, help="zone of this machine")
+    controls: list[str] = setting(ADDRESSES, help="addresses of the control processes")
     http: str = setting(ADDRESS, help="address for callers")
     data: str = setting(TEXT, help="data folder")
     tenant: str = setting(OPTIONAL_NAME, "", help="tenant of the worker's service")
-    service: str = setting(OPTIONAL_NAME, "", help="service of the worker; none: an edge")
+    service: str = setting(OPTIONAL_NAME, "", help="service of the worker; empty for an edge")
     listen: str = setting(ADDRESS, "127.0.0.1:0", help="address for other nodes")
     worker: str = setting(OPTIONAL_ADDRESS, "", help="the worker's HTTP address")
     admin: str = setting(OPTIONAL_ADDRESS, "", help="address for metrics, status and drain")
     stop_seconds: float = setting(
-        seconds(0, 86_400), 300.0, help="most seconds a planned stop waits for calls in flight"
+        seconds(0, 86_400),
+        300.0,
+        help="longest wait of a planned stop for calls in flight, in seconds",
     )
 
     @property
--- a/src/cranklane/node/worker.py
+++ b/src/cranklane/node/worker.py
@@ -1,8 +1,6 @@
-"""Runs calls in the node's own worker over HTTP.
+"""HTTP client for the node's worker.
 
-Owns the connections to the worker. The sidecar has a client of its own
-(:mod:`~cranklane.sidecar.worker.exchange`): its worker states its instance and an integrity
-mark with each answer, and a request's bytes are passed on as they came.
+The sidecar's worker client is :mod:`~cranklane.sidecar.worker.exchange`.
 """
 
 from __future__ import annotations
@@ -22,15 +20,15 @@
 from cranklane.runtime.interface import Address, Runtime
 
 MAX_CONNECTIONS = 1024
-"""Connections to the worker at once. A choice: more than any worker has slots, so that only
-admission bounds the calls."""
+"""Most concurrent connections to the worker. More than any worker has slots, so that only
+admission limits the calls."""
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerFailure:
-    """Why the worker gave no answer.
+    """A call without an answer from the worker.
 
-    :ivar outcome: NOT_RUN only when it cannot have started the work.
+    :ivar outcome: NOT_RUN only if the worker certainly did not start the call.
     """
 
     outcome: Outcome
@@ -38,7 +36,7 @@
 
 
 class WorkerClient:
-    """The node's HTTP connections to its worker."""
+    """Sends calls to the worker over pooled HTTP connections."""
 
     def __init__(self, runtime: Runtime, address: Address) -> None:
         self._client = HttpClient(runtime, address, concurrency=MAX_CONNECTIONS)
@@ -50,12 +48,12 @@
         timeout: float,
         may_start: Callable[[Any], bool],
     ) -> Result[HttpResponse, WorkerFailure]:
-        """Send a call to the worker and return when its answer begins.
+        """Send a call to the worker and return the answer once its head has arrived.
 
         :param token: context token for the worker's child calls.
-        :param timeout: seconds until the answer's head must be there.
-        :param may_start: asked with the connection just before the first byte
-            leaves; False ends the call as not run.
+        :param timeout: seconds to wait for the answer's head.
+        :param may_start: called with the connection just before the first byte is sent; if it
+            returns False, the call is not sent.
         """
         try:
             connection = self._client.connect()
@@ -82,29 +80,29 @@
 
     @staticmethod
     def _headers(call: CallOpen, token: str, timeout: float) -> list[tuple[str, str]]:
-        own = [
+        request_headers = [
             (headers.CONTEXT, token),
             (headers.DEADLINE_MS, str(max(1, int(timeout * MILLISECONDS)))),
         ]
         if call.key:
-            own.append((headers.IDEMPOTENCY_KEY, call.key))
-        return own + call.headers
+            request_headers.append((headers.IDEMPOTENCY_KEY, call.key))
+        return request_headers + call.headers
 
 
 def failure_of(error: HttpRequestError) -> WorkerFailure:
-    """Return what is known of a run on whose connection no answer came."""
+    """Return the failure for an HTTP request without an answer."""
     if not error.sent:
-        # The request could not be written as HTTP, so no byte of it left.
+        # The request could not be encoded as HTTP, so nothing was sent.
         return WorkerFailure(Outcome.NOT_RUN, Reason.BAD_REQUEST)
     if error.timed_out:
-        # The worker may still be running it.
+        # The worker may still be running the call.
         return WorkerFailure(Outcome.UNKNOWN, Reason.DEADLINE_PASSED)
-    # The connection broke: the worker may have run it or not.
+    # The connection was lost: the worker may have run the call.
     return WorkerFailure(Outcome.UNKNOWN, Reason.WORKER_FAILED)
 
 
 def _shed(response: HttpResponse) -> bool:
-    """Return whether the worker states that it has not started the work."""
+    """Return whether the worker refused the call, stating that it has not run."""
     if response.status != HTTPStatus.SERVICE_UNAVAILABLE:
         return False
     wanted = headers.OUTCOME.lower()
--- a/src/cranklane/node/own_service.py
+++ b/src/cranklane/node/worker_service.py
@@ -1,7 +1,4 @@
-"""The service of a node's worker, as the configuration in force describes it.
-
-Owns nothing; each answer is read from the configuration of that moment.
-"""
+"""Configuration of the service that a node's worker belongs to."""
 
 from __future__ import annotations
 
@@ -12,8 +9,8 @@
 from cranklane.records.messages import CallOpen
 
 
-class OwnService:
-    """Answers for one service from whatever configuration is in force.
+class WorkerService:
+    """Looks up one service in the active configuration.
 
     :param full_name: ``tenant.service``.
     """
@@ -26,8 +23,8 @@
         tenant, _, name = self._full_name.partition(".")
         return self._configuration.service(tenant, name)
 
-    def misdirected(self, call: CallOpen) -> Reason | None:
-        """Return why a call does not belong here, or None."""
+    def rejection_reason(self, call: CallOpen) -> Reason | None:
+        """Return the reason to reject a misdirected or forbidden call, or None."""
         service = self._service()
         if service is None or call.service != self._full_name:
             return Reason.UNKNOWN_ROUTE
@@ -36,12 +33,12 @@
         return None
 
     def route(self, call: CallOpen) -> Route | None:
-        """Return the route of a call, or None when the configuration has none for it."""
+        """Return the route of a call, or None if the configuration has none."""
         service = self._service()
         return service.route(call.method, call.path.partition("?")[0]) if service else None
 
     @property
     def ledgers(self) -> Sequence[str]:
-        """Ledger groups of the service's once-calls."""
+        """Names of the ledger groups for the service's once-calls."""
         service = self._service()
         return service.ledgers if service else ()
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""Routing: the less loaded of two, zones, slow start, ejection with a floor."""
+"""Load balancing: less loaded of two members, zones, slow start and ejection."""
 
 from __future__ import annotations
 
@@ -38,20 +38,20 @@
     return table
 
 
-def parts(balancer, members):
+def choice_fractions(balancer, members):
     chosen = Counter(balancer.choose(members).node for _ in range(DRAWS))
     return {name: count / DRAWS for name, count in chosen.items()}
 
 
-def test_a_loaded_member_gets_few_calls(clock):
+def test_overloaded_member_is_not_chosen(clock):
     table = table_of(clock, *(member(f"n{number}") for number in range(4)))
     balancer = Balancer(clock, Random(1), "a")
     members = table.of("t", "s")
     members[0].reported_load(LoadReport(in_flight=16, limit=8))
-    assert "n0" not in parts(balancer, members)
+    assert "n0" not in choice_fractions(balancer, members)
 
 
-def test_the_members_own_word_goes_before_what_was_sent_there(clock):
+def test_reported_load_replaces_the_local_call_count(clock):
     table = table_of(clock, member("n0"))
     view = table.of("t", "s")[0]
     for _ in range(5):
@@ -63,16 +63,16 @@
     assert view.load() == 0.5
 
 
-def test_the_own_zone_goes_first_until_it_is_full(clock):
+def test_other_zones_are_used_only_when_the_local_zone_is_full(clock):
     table = table_of(clock, member("near"), member("far-1", "b"), member("far-2", "b"))
     balancer = Balancer(clock, Random(1), "a")
     members = table.of("t", "s")
-    assert parts(balancer, members) == {"near": 1.0}
+    assert choice_fractions(balancer, members) == {"near": 1.0}
     members[0].reported_load(LoadReport(in_flight=8, limit=8))
-    assert "near" not in parts(balancer, members)
+    assert "near" not in choice_fractions(balancer, members)
 
 
-def test_a_member_that_is_new_warms_up(clock):
+def test_new_member_gets_fewer_calls_during_slow_start(clock):
     table = table_of(clock, *(member(f"old-{number}") for number in range(3)))
     balancer = Balancer(clock, Random(1), "a")
     clock.now = 100.0
@@ -80,26 +80,26 @@
     members = table.of("t", "s")
     for view in members:
         view.reported_load(LoadReport(in_flight=2, limit=8))
-    assert "new" not in parts(balancer, members)
+    assert "new" not in choice_fractions(balancer, members)
     clock.now += SLOW_START_SECONDS
-    assert parts(balancer, members)["new"] > 0.2
+    assert choice_fractions(balancer, members)["new"] > 0.2
 
 
-def test_after_a_start_of_its_own_every_member_is_warm(clock):
+def test_members_seen_at_process_start_count_as_warm(clock):
     table = table_of(clock, member("n0"), member("n1"))
     balancer = Balancer(clock, Random(1), "a")
-    assert min(parts(balancer, table.of("t", "s")).values()) > 0.4
+    assert min(choice_fractions(balancer, table.of("t", "s")).values()) > 0.4
 
 
-def test_failures_in_a_row_eject_a_member_for_longer_each_time(clock):
+def test_ejection_time_grows_with_consecutive_failures(clock):
     table = table_of(clock, *(member(f"n{number}") for number in range(3)))
     balancer = Balancer(clock, Random(1), "a")
     members = table.of("t", "s")
     ejected = [members[0].failed(clock.now) for _ in range(EJECT_AFTER_FAILURES)]
     assert ejected == [False] * (EJECT_AFTER_FAILURES - 1) + [True]
-    assert "n0" not in parts(balancer, members)
+    assert "n0" not in choice_fractions(balancer, members)
     clock.now = EJECT_SECONDS + 0.1
-    assert "n0" in parts(balancer, members)
+    assert "n0" in choice_fractions(balancer, members)
     members[0].failed(clock.now)
     assert members[0].ejected_until == pytest.approx(clock.now + 2 * EJECT_SECONDS)
     for _ in range(100):
@@ -109,17 +109,17 @@
     assert members[0].failures == 0
 
 
-def test_never_more_than_half_are_ejected(clock):
+def test_ejections_are_ignored_when_most_members_fail(clock):
     table = table_of(clock, *(member(f"n{number}") for number in range(4)))
     balancer = Balancer(clock, Random(1), "a")
     members = table.of("t", "s")
     for view in members[:3]:
         for _ in range(EJECT_AFTER_FAILURES):
             view.failed(clock.now)
-    assert len(parts(balancer, members)) == 4
+    assert len(choice_fractions(balancer, members)) == 4
 
 
-def test_a_draining_or_excluded_member_is_not_chosen(clock):
+def test_draining_or_excluded_member_is_not_chosen(clock):
     table = table_of(clock, member("n0"), member("n1"), member("n2"))
     balancer = Balancer(clock, Random(1), "a")
     members = table.of("t", "s")
@@ -128,7 +128,7 @@
     assert balancer.choose(members, frozenset({"n1", "n2"})) is None
 
 
-def test_a_replaced_machine_is_a_new_member_and_old_news_change_nothing(clock):
+def test_new_incarnation_replaces_a_member_and_stale_deltas_are_ignored(clock):
     table = table_of(clock, member("n0", incarnation=5, sequence=3))
     table.of("t", "s")[0].failures = 2
     table.apply(MemberDelta(False, [member("n0", incarnation=4, sequence=9)]))
--- a/tests/test_early_refusal.py
+++ b/tests/test_early_refusal.py
@@ -1,4 +1,4 @@
-"""Callers refuse early only what is less critical than what is refused below."""
+"""Callers refuse only calls less critical than those that most members recently refused."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cranklane.node.early_refusal import REPORT_SECONDS, EarlyRefusal
+from cranklane.node.early_refusal import REPORT_VALID_SECONDS, EarlyRefusal
 from cranklane.node.members import MemberTable, RefusalReport
 from cranklane.outcome import Criticality
 from cranklane.records.messages import Member, MemberDelta
@@ -30,40 +30,40 @@
 @pytest.fixture
 def members(clock):
     table = MemberTable(clock.monotonic)
-    rows = [Member(1, 1, 0, f"n{n}", "t", "s", "z", f"10.0.0.{n}:1") for n in range(1, 4)]
-    table.apply(MemberDelta(True, rows))
+    member_records = [Member(1, 1, 0, f"n{n}", "t", "s", "z", f"10.0.0.{n}:1") for n in range(1, 4)]
+    table.apply(MemberDelta(True, member_records))
     return table
 
 
-def refused_part(clock, members, criticality):
+def refused_fraction(clock, members, criticality):
     rule = EarlyRefusal(clock.monotonic, clock.random)
     return sum(rule.refuses(members.of("t", "s"), "t", criticality) for _ in range(200)) / 200
 
 
-def refuse(members, clock, count, highest):
+def report_refusal(members, clock, count, highest):
     for member in members.of("t", "s")[:count]:
         member.refusals["t"] = RefusalReport(highest + 1, clock.now)
 
 
-def test_the_refused_level_itself_still_goes_out(clock, members):
-    refuse(members, clock, 3, Criticality.CRITICAL)
-    assert refused_part(clock, members, Criticality.CRITICAL) == 0
-    assert refused_part(clock, members, Criticality.NORMAL) > 0.8
-    assert refused_part(clock, members, Criticality.BACKGROUND) > 0.8
+def test_calls_of_the_highest_refused_criticality_are_sent(clock, members):
+    report_refusal(members, clock, 3, Criticality.CRITICAL)
+    assert refused_fraction(clock, members, Criticality.CRITICAL) == 0
+    assert refused_fraction(clock, members, Criticality.NORMAL) > 0.8
+    assert refused_fraction(clock, members, Criticality.BACKGROUND) > 0.8
 
 
-def test_one_member_of_three_is_not_enough(clock, members):
-    refuse(members, clock, 1, Criticality.CRITICAL)
-    assert refused_part(clock, members, Criticality.BACKGROUND) == 0
+def test_refusals_by_a_minority_of_members_are_ignored(clock, members):
+    report_refusal(members, clock, 1, Criticality.CRITICAL)
+    assert refused_fraction(clock, members, Criticality.BACKGROUND) == 0
 
 
-def test_the_word_of_a_member_is_soon_forgotten(clock, members):
-    refuse(members, clock, 3, Criticality.CRITICAL)
-    clock.now += REPORT_SECONDS + 0.01
-    assert refused_part(clock, members, Criticality.BACKGROUND) == 0
+def test_reports_expire(clock, members):
+    report_refusal(members, clock, 3, Criticality.CRITICAL)
+    clock.now += REPORT_VALID_SECONDS + 0.01
+    assert refused_fraction(clock, members, Criticality.BACKGROUND) == 0
 
 
-def test_another_tenant_is_not_touched(clock, members):
+def test_reports_apply_to_their_tenant_only(clock, members):
     for member in members.of("t", "s"):
         member.refusals["other"] = RefusalReport(Criticality.CRITICAL + 1, clock.now)
-    assert refused_part(clock, members, Criticality.BACKGROUND) == 0
+    assert refused_fraction(clock, members, Criticality.BACKGROUND) == 0
