--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -1,11 +1,11 @@
-"""At most once: the entries themselves, and calls of once-routes on the virtual clock."""
+"""At-most-once calls: the ledger's state machine, and once-calls in simulated fleets."""
 
 from __future__ import annotations
 
 import gevent
 
 from cranklane.ledger.store import (
-    MAX_STORED_BODY,
+    MAX_STORED_BODY_BYTES,
     RETENTION_SECONDS,
     LedgerDecision,
     LedgerStore,
@@ -37,8 +37,8 @@
 
 
 def apply(store, when, *requests):
-    begins = [item for item in requests if isinstance(item, LedgerBegin)]
-    finishes = [item for item in requests if isinstance(item, LedgerFinish)]
+    begins = [request for request in requests if isinstance(request, LedgerBegin)]
+    finishes = [request for request in requests if isinstance(request, LedgerFinish)]
     return store.apply(LedgerBatch(when, begins, finishes).pack())
 
 
@@ -46,18 +46,18 @@
     return apply(store, when, request).grants[0].decision
 
 
-def test_only_the_first_attempt_runs():
+def test_only_the_first_attempt_may_run():
     store = LedgerStore()
     grants = apply(store, 1.0, begin(1), begin(2), begin(3)).grants
     assert [grant.decision for grant in grants] == [RUN, IN_PROGRESS, IN_PROGRESS]
 
 
-def test_an_attempt_that_lost_its_grant_may_ask_again():
+def test_resent_begin_of_the_same_attempt_gets_the_same_grant():
     store = LedgerStore()
     assert [decision(store, 1.0, begin(1)) for _ in range(3)] == [RUN, RUN, RUN]
 
 
-def test_a_resend_gets_the_stored_answer():
+def test_second_attempt_gets_the_stored_answer():
     store = LedgerStore()
     apply(store, 1.0, begin(1))
     assert apply(store, 2.0, finish(1)).done[0].stored
@@ -70,7 +70,7 @@
     )
 
 
-def test_a_run_whose_end_is_not_known_is_never_run_again():
+def test_unfinished_run_blocks_its_key_until_the_entry_expires():
     store = LedgerStore()
     apply(store, 1.0, begin(1))
     assert decision(store, 5.9, begin(2)) == IN_PROGRESS
@@ -78,33 +78,33 @@
     assert decision(store, RETENTION_SECONDS, begin(2)) == UNKNOWN
 
 
-def test_an_entry_expires_after_the_retention():
+def test_entry_expires_after_the_retention_period():
     store = LedgerStore()
     apply(store, 1.0, begin(1))
     assert decision(store, RETENTION_SECONDS + 1.1, begin(2)) == RUN
 
 
-def test_time_never_falls_with_a_leader_whose_clock_is_behind():
+def test_time_does_not_decrease_under_a_leader_with_a_slow_clock():
     store = LedgerStore()
     apply(store, 100.0, begin(1))
     assert decision(store, 2.0, begin(2)) == IN_PROGRESS
     assert store.now == 100.0
 
 
-def test_another_body_under_the_key_is_a_conflict():
+def test_another_request_digest_under_the_same_key_is_a_conflict():
     store = LedgerStore()
     apply(store, 1.0, begin(1))
     assert decision(store, 2.0, begin(2, digest=b"other")) == CONFLICT
 
 
-def test_an_attempt_that_has_not_run_frees_the_key():
+def test_not_run_outcome_frees_the_key():
     store = LedgerStore()
     apply(store, 1.0, begin(1))
     apply(store, 2.0, finish(1, Outcome.NOT_RUN))
     assert decision(store, 3.0, begin(2)) == RUN
 
 
-def test_only_the_attempt_that_runs_may_end_the_entry_and_only_once():
+def test_only_the_running_attempt_may_finish_the_entry_and_only_once():
     store = LedgerStore()
     apply(store, 1.0, begin(1))
     assert not apply(store, 2.0, finish(2, Outcome.NOT_RUN)).done[0].stored
@@ -113,58 +113,58 @@
     assert decision(store, 3.0, begin(3)) == ANSWERED
 
 
-def test_a_snapshot_holds_everything():
+def test_snapshot_restores_the_whole_state():
     store = LedgerStore()
     for number in range(50):
         apply(store, float(number), begin(number, key=f"k{number}"))
-    again = LedgerStore()
-    again.restore(store.pack())
-    assert again.pack() == store.pack()
-    assert decision(again, 50.0, begin(99, key="k7")) == UNKNOWN
+    restored = LedgerStore()
+    restored.restore(store.pack())
+    assert restored.pack() == store.pack()
+    assert decision(restored, 50.0, begin(99, key="k7")) == UNKNOWN
 
 
-class ScriptedClient:
-    """Answers the ends of once-calls one after the other."""
+class ScriptedLedgerClient:
+    """Returns scripted replies to the outcomes sent to the ledger."""
 
-    def __init__(self, *words):
-        self.words = list(words)
+    def __init__(self, *replies):
+        self.replies = list(replies)
 
     def finish(self, _group, _request, _seconds):
-        return self.words.pop(0)
+        return self.replies.pop(0)
 
 
-def ends_left(outcome, *words):
-    """Return the words left once an end was stored, and the ends still counted."""
+def run_store(outcome, *replies):
+    """Store an outcome; return the unused replies and the pending stores during and after it."""
 
     def scenario(world):
-        client = ScriptedClient(*words)
+        client = ScriptedLedgerClient(*replies)
         calls = once.OnceCalls(world.process("node", "z"), client)
         task = gevent.spawn(calls.store, "main", finish(1, outcome))
         gevent.sleep(0)
-        while_storing = calls.storing
+        pending_during_store = calls.pending_stores
         task.join()
-        return len(client.words), while_storing, calls.storing
+        return len(client.replies), pending_during_store, calls.pending_stores
 
     return simulate(1, SMALL.between_zones, scenario)
 
 
-def test_an_end_that_the_ledger_has_already_is_sent_once():
-    assert ends_left(Outcome.ANSWERED, LedgerDone(False), LedgerDone(True)) == (1, 0, 0)
+def test_outcome_without_an_entry_is_sent_once():
+    assert run_store(Outcome.ANSWERED, LedgerDone(False), LedgerDone(True)) == (1, 0, 0)
 
 
-def test_an_end_without_an_answer_is_sent_again_and_counts_as_in_flight():
-    assert ends_left(Outcome.ANSWERED, None, LedgerDone(True), None) == (1, 1, 0)
+def test_unacknowledged_outcome_is_resent_and_counts_as_pending():
+    assert run_store(Outcome.ANSWERED, None, LedgerDone(True), None) == (1, 1, 0)
 
 
-def test_an_entry_to_be_freed_is_asked_for_until_it_was_there():
-    words = (LedgerDone(False), None, LedgerDone(True), None)
-    assert ends_left(Outcome.NOT_RUN, *words) == (1, 1, 0)
+def test_not_run_outcome_is_resent_until_its_entry_is_deleted():
+    replies = (LedgerDone(False), None, LedgerDone(True), None)
+    assert run_store(Outcome.NOT_RUN, *replies) == (1, 1, 0)
 
 
-# On the virtual clock.
+# Simulated fleets on a virtual clock.
 
 
-def play(script, ledgers=3, seed=1):
+def run_scenario(script, ledgers=3, seed=1):
     def scenario(world):
         fleet = SimulatedFleet(world, SMALL)
         run = Run(world, fleet)
@@ -177,60 +177,66 @@
     return simulate(seed, SMALL.between_zones, scenario)
 
 
-def sign(run, nonce="n", key="key"):
-    kind = next(item for item in SMALL.requests if item.name == "sign")
+def send_sign_call(run, nonce="n", key="key"):
+    kind = next(request for request in SMALL.requests if request.name == "sign")
     return run.send(run.fleet.client(f"client-{run.world.events}"), kind, nonce, key)
 
 
-def signed(run):
-    return sum(item.service == "signing" for item in run.recorder.runs)
+def count_sign_runs(run):
+    return sum(worker_run.service == "signing" for worker_run in run.recorder.runs)
 
 
-def test_a_resend_is_answered_without_a_second_run():
+def test_resent_call_is_answered_without_a_second_run():
     def script(run):
-        told = [sign(run) for _ in range(3)]
-        return [item.good for item in told], signed(run)
+        answers = [send_sign_call(run) for _ in range(3)]
+        return [answer.good for answer in answers], count_sign_runs(run)
 
-    assert play(script) == ([True, True, True], 1)
+    assert run_scenario(script) == ([True, True, True], 1)
 
 
-def test_another_request_under_the_same_key_is_refused_clearly():
+def test_another_request_under_the_same_key_is_refused():
     def script(run):
-        sign(run, "one")
-        told = sign(run, "two")
-        return told.outcome, told.reason, told.status, signed(run)
+        send_sign_call(run, "one")
+        answer = send_sign_call(run, "two")
+        return answer.outcome, answer.reason, answer.status, count_sign_runs(run)
 
-    assert play(script) == ("not_run", "key_conflict", 422, 1)
+    assert run_scenario(script) == ("not_run", "key_conflict", 422, 1)
 
 
-def test_a_resend_beside_the_running_call_hears_that_it_is_in_progress():
+def test_resent_call_is_refused_while_the_first_is_running():
     def script(run):
         for pair in run.fleet.of("signing"):
             pair.worker.state.slow_factor = 50.0
-        first = gevent.spawn(sign, run)
+        first = gevent.spawn(send_sign_call, run)
         gevent.sleep(0.3)
-        second = sign(run)
+        second = send_sign_call(run)
         return second.outcome, second.reason, second.retry_after_ms > 0, first.get().good
 
-    assert play(script) == ("unknown", "in_progress", True, True)
+    assert run_scenario(script) == ("unknown", "in_progress", True, True)
 
 
-def test_without_a_quorum_it_is_refused_at_once_and_not_run():
+def test_once_call_is_refused_at_once_without_a_ledger_quorum():
     def script(run):
         for process in run.fleet.ledger_processes[1:]:
             process.kill(power_lost=True)
         gevent.sleep(3.0)
-        told = sign(run)
-        return told.outcome, told.reason, told.retry_after_ms > 0, told.seconds < 1.0, signed(run)
+        answer = send_sign_call(run)
+        return (
+            answer.outcome,
+            answer.reason,
+            answer.retry_after_ms > 0,
+            answer.seconds < 1.0,
+            count_sign_runs(run),
+        )
 
-    assert play(script) == ("not_run", "ledger_unavailable", True, True, 0)
+    assert run_scenario(script) == ("not_run", "ledger_unavailable", True, True, 0)
 
 
-def test_a_call_goes_on_when_its_caller_is_lost_and_a_resend_gets_its_answer():
+def test_once_call_continues_after_its_caller_is_lost():
     def script(run):
         for pair in run.fleet.of("signing"):
             pair.worker.state.slow_factor = 20.0
-        lost = gevent.spawn(sign, run)
+        lost = gevent.spawn(send_sign_call, run)
         gevent.sleep(0.15)
         for pair in run.fleet.of("signing"):
             run.world.network.cut("edge", pair.node_process.name)
@@ -238,53 +244,53 @@
         first = lost.get()
         run.world.network.heal_all()
         gevent.sleep(5.0)
-        return first.outcome, sign(run).good, signed(run)
+        return first.outcome, send_sign_call(run).good, count_sign_runs(run)
 
-    assert play(script) == ("unknown", True, 1)
+    assert run_scenario(script) == ("unknown", True, 1)
 
 
-def late_runs(run, stop=SimulatedProcess.freeze):
-    """Stop the nodes once entries are made; return which of those ran after the lease."""
-    tasks = [gevent.spawn(sign, run, f"n{number}", f"k{number}") for number in range(20)]
+def late_runs(run, pause=SimulatedProcess.freeze):
+    """Suspend the nodes when entries exist; return the keys of those that ran after the lease."""
+    tasks = [gevent.spawn(send_sign_call, run, f"n{number}", f"k{number}") for number in range(20)]
     while not any(len(ledger.store) for ledger in run.fleet.ledgers):
         gevent.sleep(0.0001)
-    at = run.world.loop.now()
+    suspended_at = run.world.loop.now()
     fullest = max((ledger.store for ledger in run.fleet.ledgers), key=len)
     granted = {LedgerEntry.unpack(packed).key for packed in fullest._entries.values()}
     for pair in run.fleet.of("signing"):
-        stop(pair.node_process, once.LEASE_SECONDS + 0.2)
+        pause(pair.node_process, once.LEASE_SECONDS + 0.2)
     gevent.joinall(tasks)
     return [
-        item.key
-        for item in run.recorder.runs
-        if item.key in granted and item.at > at + once.LEASE_SECONDS
+        worker_run.key
+        for worker_run in run.recorder.runs
+        if worker_run.key in granted and worker_run.at > suspended_at + once.LEASE_SECONDS
     ]
 
 
-def test_a_frozen_node_does_not_run_after_its_lease():
-    assert play(late_runs) == []
+def test_suspended_node_does_not_run_a_call_after_its_lease():
+    assert run_scenario(late_runs) == []
 
 
-def test_without_the_lease_a_frozen_node_would_run_late(monkeypatch):
-    monkeypatch.setattr(once.OnceTicket, "may_start", lambda _self: True)
-    assert play(late_runs)
+def test_suspended_node_runs_late_without_the_lease_check(monkeypatch):
+    monkeypatch.setattr(once.OnceLease, "may_start", lambda _self: True)
+    assert run_scenario(late_runs)
 
 
-def test_an_answer_too_large_to_store_is_not_run_again_either(monkeypatch):
-    monkeypatch.setattr(once, "MAX_STORED_BODY", 10)
-    assert MAX_STORED_BODY > 10
+def test_call_with_an_answer_too_large_to_store_runs_once(monkeypatch):
+    monkeypatch.setattr(once, "MAX_STORED_BODY_BYTES", 10)
+    assert MAX_STORED_BODY_BYTES > 10
 
     def script(run):
-        return [sign(run).outcome for _ in range(2)], signed(run)
+        return [send_sign_call(run).outcome for _ in range(2)], count_sign_runs(run)
 
-    outcomes, runs = play(script)
+    outcomes, runs = run_scenario(script)
     assert runs == 1
     assert outcomes[0] == "answered"
 
 
-def test_entries_survive_the_loss_of_any_one_disk():
+def test_entries_survive_the_loss_of_any_single_disk():
     def script(run):
-        sign(run)
+        send_sign_call(run)
         for number in range(3):
             process = run.fleet.ledger_processes[number]
             process.kill(power_lost=True)
@@ -292,6 +298,6 @@
             gevent.sleep(0.5)
             run.fleet.restart_ledger(number)
             gevent.sleep(15.0)
-        return sign(run).good, signed(run)
+        return send_sign_call(run).good, count_sign_runs(run)
 
-    assert play(script) == (True, 1)
+    assert run_scenario(script) == (True, 1)
--- a/tests/test_node_admission.py
+++ b/tests/test_node_admission.py
@@ -1,4 +1,4 @@
-"""What a node refuses at once, how long a call would wait, and who gives way in the queue."""
+"""Immediate refusals, estimated queueing delay, concurrency limit and queue eviction."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from cranklane.node.admission_rule import (
     OVERLOADED_AFTER_SECONDS,
     expected_wait,
+    immediate_refusal,
     is_overloaded,
-    refusal_at_once,
 )
 from cranklane.node.concurrency import SHED_FACTOR, ConcurrencyLimit
-from cranklane.node.fair_queue import FairQueue, Waiting
-from cranklane.node.refusal_memory import MEMORY_SECONDS, RefusalMemory
+from cranklane.node.fair_queue import FairQueue, QueuedCall
+from cranklane.node.recent_refusals import RECENT_REFUSAL_SECONDS, RecentRefusals
 from cranklane.node.retry_after import (
     DRAINING_MS,
     MAX_QUEUE_MS,
@@ -35,27 +35,29 @@
 ]
 
 
-@pytest.mark.parametrize(("draining", "remaining", "wait", "likely", "reason"), REFUSALS)
-def test_refusals_at_once(draining, remaining, wait, likely, reason):
-    assert refusal_at_once(draining, remaining, wait, likely) is reason
+@pytest.mark.parametrize(
+    ("draining", "remaining", "wait", "likely_service_time", "reason"), REFUSALS
+)
+def test_immediate_refusal(draining, remaining, wait, likely_service_time, reason):
+    assert immediate_refusal(draining, remaining, wait, likely_service_time) is reason
 
 
-def test_the_wait_grows_with_the_calls_ahead_and_falls_with_the_slots():
+def test_expected_wait_depends_on_calls_ahead_and_slots():
     assert expected_wait(0, 0.1, 1) == pytest.approx(0.1)
     assert expected_wait(3, 0.1, 2) == pytest.approx(0.2)
 
 
-def test_retry_after_is_the_wait_within_bounds():
+def test_retry_after_of_the_queue_is_its_clamped_wait():
     assert after_queue(0.0) == MIN_QUEUE_MS
     assert after_queue(0.3) == 300
     assert after_queue(1e9) == MAX_QUEUE_MS
 
 
-def test_a_call_the_worker_refused_is_retried_after_a_service_time():
+def test_retry_after_of_the_worker_is_its_service_time():
     assert after_worker(0.25) == 250
 
 
-def test_a_draining_node_refuses_whatever_the_deadline():
+def test_draining_node_refuses_every_call():
     admission = Admission(lambda: 10.0, lambda _tenant: 1)
     admission.draining = True
     refusal = admission.admit("t", Criticality.CRITICAL, 99.0).err_value
@@ -63,21 +65,21 @@
     assert admission.refused_below("t") == 0
 
 
-def test_overloaded_after_a_while_without_an_empty_queue():
+def test_queue_is_overloaded_if_never_empty_for_too_long():
     assert not is_overloaded(10.0, 10.0 - OVERLOADED_AFTER_SECONDS / 2)
     assert is_overloaded(10.0, 10.0 - OVERLOADED_AFTER_SECONDS * 2)
 
 
-def test_a_refusal_is_forgotten():
+def test_recent_refusal_expires():
     now = [10.0]
-    memory = RefusalMemory(lambda: now[0])
-    memory.refused("t", Criticality.LOW)
+    memory = RecentRefusals(lambda: now[0])
+    memory.record("t", Criticality.LOW)
     assert memory.refused_below("t") == Criticality.LOW + 1
-    now[0] += MEMORY_SECONDS
+    now[0] += RECENT_REFUSAL_SECONDS
     assert memory.refused_below("t") == 0
 
 
-def test_a_free_slot_is_taken_at_once_and_a_late_call_refused():
+def test_free_slot_is_used_and_queued_call_with_near_deadline_refused():
     admission = Admission(lambda: 10.0, lambda _tenant: 1)
     admission.configure(1, 4)
     slot = admission.admit("t", Criticality.NORMAL, 10.001).ok_value
@@ -90,7 +92,7 @@
     assert admission.in_flight == 0
 
 
-def test_the_limit_falls_with_each_refusal_and_never_below_one():
+def test_worker_refusals_lower_the_limit_to_at_least_one():
     limit = ConcurrencyLimit(10)
     limit.shed()
     assert limit.limit == int(10 * SHED_FACTOR)
@@ -102,7 +104,7 @@
     assert limit.limit == 10
 
 
-def test_new_slots_are_in_force_at_once():
+def test_changed_slots_reset_the_limit():
     limit = ConcurrencyLimit(8)
     limit.shed()
     limit.set_slots(4)
@@ -111,29 +113,29 @@
     assert limit.limit == 12
 
 
-def waiting(tenant, criticality=Criticality.NORMAL):
-    return Waiting(tenant, criticality, 99.0, 0.0, lambda _reason: None)
+def queued_call(tenant, criticality=Criticality.NORMAL):
+    return QueuedCall(tenant, criticality, 99.0, 0.0, lambda _reason: None)
 
 
-def test_the_heaviest_tenant_gives_way_first_with_its_least_critical_call():
+def test_eviction_takes_the_least_critical_call_of_the_heaviest_tenant():
     queue = FairQueue(lambda _tenant: 1)
-    low = waiting("busy", Criticality.LOW)
-    for call in (waiting("busy"), low, waiting("busy"), waiting("quiet")):
+    low = queued_call("busy", Criticality.LOW)
+    for call in (queued_call("busy"), low, queued_call("busy"), queued_call("quiet")):
         queue.add(call)
-    assert queue.victim(waiting("quiet"), {}) is low
+    assert queue.victim(queued_call("quiet"), {}) is low
 
 
-def test_within_a_tenant_only_a_lower_criticality_gives_way():
+def test_eviction_within_a_tenant_needs_a_lower_criticality():
     queue = FairQueue(lambda _tenant: 1)
-    low = waiting("t", Criticality.LOW)
+    low = queued_call("t", Criticality.LOW)
     queue.add(low)
-    assert queue.victim(waiting("t", Criticality.LOW), {}) is None
-    assert queue.victim(waiting("t", Criticality.NORMAL), {}) is low
+    assert queue.victim(queued_call("t", Criticality.LOW), {}) is None
+    assert queue.victim(queued_call("t", Criticality.NORMAL), {}) is low
 
 
-def test_a_tenant_with_fewer_slots_for_its_share_goes_first():
+def test_next_slot_goes_to_the_tenant_with_fewest_slots_for_its_share():
     queue = FairQueue(lambda tenant: 3 if tenant == "large" else 1)
-    large, small = waiting("large"), waiting("small")
+    large, small = queued_call("large"), queued_call("small")
     queue.add(small)
     queue.add(large)
     assert queue.take({"large": 2, "small": 1}, newest_first=False) is large
--- a/tests/test_node_worker.py
+++ b/tests/test_node_worker.py
@@ -1,4 +1,4 @@
-"""What a node knows of a run in its worker that gave no answer."""
+"""Outcome of worker requests that get no answer."""
 
 from __future__ import annotations
 
@@ -17,6 +17,8 @@
 
 
 @pytest.mark.parametrize(("sent", "timed_out", "outcome", "reason"), CASES)
-def test_only_what_was_not_sent_has_certainly_not_run(sent, timed_out, outcome, reason):
+def test_failed_request_counts_as_not_run_only_if_nothing_was_sent(
+    sent, timed_out, outcome, reason
+):
     error = HttpRequestError("broken", sent, timed_out)
     assert failure_of(error) == WorkerFailure(outcome, reason)
