--- a/src/cranklane/ledger/store.py
+++ b/src/cranklane/ledger/store.py
@@ -98,7 +98,7 @@
         name = entry_name(request.tenant, request.service, request.key)
         packed = self._entries.get(name)
         if packed is None:
-            self._entries[name] = self._started(request).pack()
+            self._entries[name] = self._new_entry(request).pack()
             return LedgerGrant(LedgerDecision.RUN)
         entry = LedgerEntry.unpack(packed)
         if entry.digest != request.digest:
@@ -112,12 +112,12 @@
             return LedgerGrant(LedgerDecision.IN_PROGRESS)
         return LedgerGrant(LedgerDecision.UNKNOWN)
 
-    def _started(self, request: LedgerBegin) -> LedgerEntry:
-        running = (request.lease_ms + request.run_ms) / MILLISECONDS
+    def _new_entry(self, request: LedgerBegin) -> LedgerEntry:
+        run_seconds = (request.lease_ms + request.run_ms) / MILLISECONDS
         return LedgerEntry(
             attempt=request.attempt,
             started=self.now,
-            running_until=self.now + running,
+            running_until=self.now + run_seconds,
             expires=self.now + RETENTION_SECONDS,
             digest=request.digest,
             tenant=request.tenant,
--- a/src/cranklane/node/admission.py
+++ b/src/cranklane/node/admission.py
@@ -84,7 +84,7 @@
         """Set new limits; queued and running calls continue."""
         self.concurrency.set_slots(slots)
         self._queue_size = queue_size
-        self._start_waiting()
+        self._start_queued()
 
     @property
     def queued(self) -> int:
@@ -125,7 +125,7 @@
             return Err(self._refuse(tenant, criticality, reason))
         if free:
             self._last_empty = now
-            return Ok(self._occupy(tenant, criticality))
+            return Ok(self._acquire_slot(tenant, criticality))
         return self._wait_for_slot(tenant, criticality, deadline, on_wait)
 
     def _tenant_wait(self, tenant: str, criticality: Criticality) -> float:
@@ -183,11 +183,11 @@
         """Return one more than the highest criticality recently refused to a tenant, or 0."""
         return self._refusals.refused_below(tenant)
 
-    def _occupy(self, tenant: str, criticality: Criticality) -> Slot:
-        self._count(tenant)
+    def _acquire_slot(self, tenant: str, criticality: Criticality) -> Slot:
+        self._count_call(tenant)
         return Slot(tenant, criticality, self._clock())
 
-    def _count(self, tenant: str) -> None:
+    def _count_call(self, tenant: str) -> None:
         self.in_flight += 1
         self._in_flight[tenant] = self._in_flight.get(tenant, 0) + 1
 
@@ -204,9 +204,9 @@
             del self._in_flight[slot.tenant]
         if ran:
             self.concurrency.finished(self._clock() - slot.acquired_at)
-        self._start_waiting()
+        self._start_queued()
 
-    def _start_waiting(self) -> None:
+    def _start_queued(self) -> None:
         now = self._clock()
         if not self._queue.size:
             self._last_empty = now
@@ -218,5 +218,5 @@
             if call.deadline <= now + self.concurrency.likely_service_time:
                 call.settle(Reason.DEADLINE_TOO_NEAR)
                 continue
-            self._count(call.tenant)
+            self._count_call(call.tenant)
             call.settle(Reason.NONE)
--- a/src/cranklane/node/attempt.py
+++ b/src/cranklane/node/attempt.py
@@ -83,7 +83,7 @@
 
     def attempt(self, call: OutboundCall) -> Answer:
         """Make one attempt and return its answer; the body may still be arriving."""
-        member = self._choose(call)
+        member = self._choose_member(call)
         if member is None:
             return refused_answer(Reason.NO_MEMBERS, retry_after.DEFAULT_MS)
         call.tried_nodes.add(member.node)
@@ -99,13 +99,13 @@
         call.attempts += 1
         granted = context.allowance.grant() if call.service.calls_others else 0
         try:
-            sent = connection.open(self._record(call, granted))
+            sent = connection.open(self._call_open(call, granted))
         except ConnectionLostError:
             context.allowance.give_back(granted)
             return refused_answer(Reason.PEER_UNREACHABLE)
         return self._await_answer(context, member, sent)
 
-    def _choose(self, call: OutboundCall) -> MemberView | None:
+    def _choose_member(self, call: OutboundCall) -> MemberView | None:
         members = self._members.of(call.service.tenant, call.service.name)
         member = self._balancer.choose(members, frozenset(call.tried_nodes))
         if member is None and call.tried_nodes:
@@ -113,7 +113,7 @@
             member = self._balancer.choose(members)
         return member
 
-    def _record(self, call: OutboundCall, granted: int) -> CallOpen:
+    def _call_open(self, call: OutboundCall, granted: int) -> CallOpen:
         context = call.context
         request = call.request
         remaining = context.deadline - self._runtime.monotonic()
@@ -144,20 +144,20 @@
             head = call.head(context.deadline - started)
         except gevent.Timeout:
             call.cancel(Reason.DEADLINE_PASSED)
-            return self._unknown(open_attempt, Reason.DEADLINE_PASSED)
+            return self._unknown_answer(open_attempt, Reason.DEADLINE_PASSED)
         except ConnectionLostError:
-            return self._unknown(open_attempt, Reason.PEER_LOST)
+            return self._unknown_answer(open_attempt, Reason.PEER_LOST)
         except CallCancelledError as error:
-            return self._unknown(open_attempt, error.reason)
-        return self._take_head(open_attempt, head, started)
+            return self._unknown_answer(open_attempt, error.reason)
+        return self._handle_head(open_attempt, head, started)
 
-    def _unknown(self, open_attempt: _OpenAttempt, reason: Reason) -> Answer:
+    def _unknown_answer(self, open_attempt: _OpenAttempt, reason: Reason) -> Answer:
         if reason in _MEMBER_FAULTS:
             self._count_failure(open_attempt.member)
         open_attempt.finish(unused=0)
         return Answer(Outcome.UNKNOWN, reason)
 
-    def _take_head(self, open_attempt: _OpenAttempt, head: AnswerHead, started: float) -> Answer:
+    def _handle_head(self, open_attempt: _OpenAttempt, head: AnswerHead, started: float) -> Answer:
         member = open_attempt.member
         now = self._runtime.monotonic()
         member.reported_load(head)
@@ -190,13 +190,13 @@
     member: MemberView
     call: PeerCall
     cancel_hook: int
-    done: bool = False
+    finished: bool = False
 
     def finish(self, unused: int) -> None:
         """End the attempt and add the ``unused`` retries to the call's allowance."""
-        if self.done:
+        if self.finished:
             return
-        self.done = True
+        self.finished = True
         self.call.close()
         self.context.remove_cancel_hook(self.cancel_hook)
         self.context.allowance.give_back(unused)
--- a/src/cranklane/node/callers.py
+++ b/src/cranklane/node/callers.py
@@ -67,11 +67,11 @@
 
     # The parameter names are required by falcon.
     def _serve(self, req: falcon.Request, resp: falcon.Response, **_: Any) -> None:
-        read = read_call(req)
-        if isinstance(read, Err):
-            write_refusal(resp, refused_answer(read.err_value))
+        parsed = read_call(req)
+        if isinstance(parsed, Err):
+            write_refusal(resp, refused_answer(parsed.err_value))
             return
-        call = read.ok_value
+        call = parsed.ok_value
         resolved = self._context(req, call)
         if isinstance(resolved, Err):
             write_refusal(resp, refused_answer(resolved.err_value))
@@ -85,9 +85,9 @@
             del self._active[number]
             write_refusal(resp, answer)
             return
-        write_answer(req, resp, answer, lambda: self._ended(number))
+        write_answer(req, resp, answer, lambda: self._remove_call(number))
 
-    def _ended(self, number: int) -> None:
+    def _remove_call(self, number: int) -> None:
         self._active.pop(number, None)
 
     def _context(self, request: falcon.Request, call: Request) -> Result[CallContext, Reason]:
--- a/src/cranklane/node/members.py
+++ b/src/cranklane/node/members.py
@@ -1,4 +1,4 @@
-"""Members (nodes) of the called services.
+"""Members of the called services: the nodes that calls can be sent to.
 
 For each member, keeps the state published by control, its reported load and the results of
 calls to it. :mod:`~cranklane.node.ejection` decides on ejections.
@@ -121,10 +121,10 @@
         """Apply a delta; return the removed members."""
         removed = []
         if delta.whole:
-            named = {(member.tenant, member.service, member.node) for member in delta.members}
+            listed = {(member.tenant, member.service, member.node) for member in delta.members}
             for (tenant, service), members in self._members.items():
-                unnamed = [node for node in members if (tenant, service, node) not in named]
-                removed += [members.pop(node) for node in unnamed]
+                unlisted = [node for node in members if (tenant, service, node) not in listed]
+                removed += [members.pop(node) for node in unlisted]
         for member in delta.members:
             removed += self._apply(member)
         return removed
@@ -133,21 +133,21 @@
         members = self._members.setdefault((member.tenant, member.service), {})
         view = members.get(member.node)
         if view is not None:
-            order = (view.incarnation, view.sequence)
-            if (member.incarnation, member.sequence) < order:
+            current_version = (view.incarnation, view.sequence)
+            if (member.incarnation, member.sequence) < current_version:
                 return []
         if not MemberState(member.state).is_there:
             removed = members.pop(member.node, None)
             return [removed] if removed is not None else []
         if view is None or view.incarnation != member.incarnation:
             # Another incarnation under the same name is a new member.
-            members[member.node] = self._view(member)
+            members[member.node] = self._new_view(member)
             return [view] if view is not None else []
         view.sequence = member.sequence
         view.state = MemberState(member.state)
         return []
 
-    def _view(self, member: Member) -> MemberView:
+    def _new_view(self, member: Member) -> MemberView:
         return MemberView(
             node=member.node,
             incarnation=member.incarnation,
--- a/src/cranklane/node/once.py
+++ b/src/cranklane/node/once.py
@@ -22,18 +22,18 @@
 from cranklane.records.messages import CallOpen, LedgerBegin, LedgerFinish, LedgerGrant
 from cranklane.runtime.interface import Runtime
 
-BEGIN_SECONDS = 1.5
+BEGIN_TIMEOUT_SECONDS = 1.5
 """Longest wait for the ledger's decision in seconds; longer than a leader election."""
 
 LEASE_SECONDS = 3.0
 """Seconds from the request to the ledger until the call must have been sent to the worker.
 Prevents a late run after the node was suspended in between."""
 
-FINISH_SECONDS = 10.0
+STORE_TIMEOUT_SECONDS = 10.0
 """Seconds to keep trying to store an outcome; longer than a leader election. Afterwards the
 ledger reports the outcome as unknown, which is safe."""
 
-FINISH_PAUSE_SECONDS = 0.5
+STORE_RETRY_SECONDS = 0.5
 """Seconds between attempts to store an outcome; spares a group without a leader."""
 
 _ATTEMPT_BITS = 64
@@ -60,7 +60,7 @@
     :ivar expires_at: monotonic second after which the run must not start.
     """
 
-    calls: OnceCalls
+    once_calls: OnceCalls
     group: str
     attempt: int
     message: CallOpen
@@ -69,7 +69,7 @@
 
     def may_start(self) -> bool:
         """Return whether the lease is still valid."""
-        return self.calls.runtime.monotonic() < self.expires_at
+        return self.once_calls.runtime.monotonic() < self.expires_at
 
     def finish(
         self,
@@ -95,7 +95,7 @@
             headers=headers or [],
             body=body,
         )
-        self.calls.runtime.spawn(self.calls.store, self.group, request)
+        self.once_calls.runtime.spawn(self.once_calls.store, self.group, request)
 
 
 class OnceCalls:
@@ -127,7 +127,7 @@
             self.runtime.monotonic() + LEASE_SECONDS,
         )
         request = _begin_request(lease, remaining)
-        granted = self._client.begin(lease.group, request, min(BEGIN_SECONDS, remaining))
+        granted = self._client.begin(lease.group, request, min(BEGIN_TIMEOUT_SECONDS, remaining))
         if isinstance(granted, Err):
             return Err(self._unavailable(lease, granted.err_value.not_run))
         return _grant_result(lease, granted.ok_value)
@@ -141,17 +141,17 @@
         return OnceRefusal(Outcome.UNKNOWN, Reason.LEDGER_UNAVAILABLE, LEDGER_MS)
 
     def store(self, group: str, request: LedgerFinish) -> None:
-        """Store an outcome; retry for :data:`FINISH_SECONDS`."""
-        deadline = self.runtime.monotonic() + FINISH_SECONDS
+        """Store an outcome; retry for :data:`STORE_TIMEOUT_SECONDS`."""
+        deadline = self.runtime.monotonic() + STORE_TIMEOUT_SECONDS
         self.pending_stores += 1
         try:
             while self.runtime.monotonic() < deadline:
-                done = self._client.finish(group, request, BEGIN_SECONDS)
+                done = self._client.finish(group, request, BEGIN_TIMEOUT_SECONDS)
                 # Keep trying to delete a missing entry: the delayed request to create it may
                 # still arrive.
                 if done is not None and (done.stored or request.outcome != Outcome.NOT_RUN):
                     return
-                gevent.sleep(FINISH_PAUSE_SECONDS)
+                gevent.sleep(STORE_RETRY_SECONDS)
         finally:
             self.pending_stores -= 1
 
--- a/src/cranklane/node/outbound.py
+++ b/src/cranklane/node/outbound.py
@@ -52,7 +52,7 @@
         if service is None or route is None:
             return self._refuse(request, context.criticality, Reason.UNKNOWN_ROUTE)
         criticality = route.criticality_for(context.criticality)
-        reason = self._forbidden(context, request, service, route)
+        reason = self._refusal_reason(context, request, service, route)
         if reason is not None:
             return self._refuse(request, criticality, reason)
         answer = self._call_with_retries(
@@ -72,10 +72,10 @@
         )
         return refused_answer(reason)
 
-    def _forbidden(
+    def _refusal_reason(
         self, context: CallContext, request: Request, service: Service, route: Route
     ) -> Reason | None:
-        if not self._path_exists(request, service):
+        if not self._is_granted(request, service):
             return Reason.NOT_GRANTED
         if context.depth >= MAX_DEPTH:
             return Reason.TOO_DEEP
@@ -89,7 +89,7 @@
             return Reason.RETRIES_EXHAUSTED
         return None
 
-    def _path_exists(self, request: Request, service: Service) -> bool:
+    def _is_granted(self, request: Request, service: Service) -> bool:
         if request.caller not in service.callers:
             return False
         tenant, _, name = request.caller.partition(".")
@@ -99,7 +99,7 @@
     def _call_with_retries(self, call: OutboundCall) -> Answer:
         service = call.service
         budget = self._budgets.setdefault(service.full_name, RetryBudget())
-        budget.called(service.retry_ratio)
+        budget.record_call(service.retry_ratio)
         members = self._members.of(service.tenant, service.name)
         if self._early_refusal.refuses(members, call.context.tenant, call.criticality):
             return refused_answer(Reason.REFUSED_EARLY, retry_after.DEFAULT_MS)
--- a/src/cranklane/node/peer_call.py
+++ b/src/cranklane/node/peer_call.py
@@ -68,10 +68,10 @@
         self.unused_allowance = 0
         self.is_complete = False
 
-    def deliver(self, item: Message | Exception) -> None:
+    def deliver(self, received: Message | Exception) -> None:
         """Queue a record or an error for the call's task."""
-        self.is_complete |= isinstance(item, AnswerEnd)
-        self._inbox.put(item)
+        self.is_complete |= isinstance(received, AnswerEnd)
+        self._inbox.put(received)
 
     def cancel(self, reason: Reason) -> None:
         """Cancel the call at the destination and wake the task that reads the answer."""
--- a/src/cranklane/node/process.py
+++ b/src/cranklane/node/process.py
@@ -78,7 +78,7 @@
             self.peers,
             Balancer(runtime.monotonic, runtime.random, self._settings.zone),
             self.metrics,
-            self._ejected,
+            self._log_ejection,
         )
         return Outbound(runtime, self.configuration, self.members, attempts, self.metrics)
 
@@ -201,7 +201,7 @@
         self.metrics.event("newer_version_seen")
         self.subscription.newer_seen()
 
-    def _ejected(self, member: MemberView) -> None:
+    def _log_ejection(self, member: MemberView) -> None:
         self._log.warning("member_ejected", member=member.node, failures=member.failures)
 
     def _members_changed(self, delta: MemberDelta) -> None:
--- a/src/cranklane/node/recent_refusals.py
+++ b/src/cranklane/node/recent_refusals.py
@@ -32,9 +32,9 @@
     def refused_below(self, tenant: str) -> int:
         """Return one more than the highest criticality recently refused to a tenant, or 0.
 
-        >>> memory = RecentRefusals(lambda: 5.0)
-        >>> memory.record("t", Criticality.NORMAL)
-        >>> memory.refused_below("t"), memory.refused_below("other")
+        >>> recent = RecentRefusals(lambda: 5.0)
+        >>> recent.record("t", Criticality.NORMAL)
+        >>> recent.refused_below("t"), recent.refused_below("other")
         (3, 0)
         """
         oldest = self._clock() - RECENT_REFUSAL_SECONDS
--- a/src/cranklane/node/retry_budget.py
+++ b/src/cranklane/node/retry_budget.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 MAX_TOKENS = 10.0
-"""Capacity of the token bucket; enough to retry the calls in flight when a member fails."""
+"""Capacity of the token bucket in retries; covers the calls in flight when a member fails."""
 
 
 class RetryBudget:
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._tokens = MAX_TOKENS
 
-    def called(self, ratio: float) -> None:
+    def record_call(self, ratio: float) -> None:
         """Add tokens for a call.
 
         :param ratio: retries allowed per call.
--- a/src/cranklane/node/retry_rule.py
+++ b/src/cranklane/node/retry_rule.py
@@ -70,7 +70,7 @@
         return NextStep.REDIRECT
     if outcome is Outcome.NOT_RUN and reason in _RETRIED:
         return NextStep.RETRY
-    # Every member would refuse the call for the same reason.
+    # Answered, out of redirects, or refused for a reason that applies to every member.
     return NextStep.FINISH
 
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -136,6 +136,6 @@
         MemberDelta(False, [member("n0", incarnation=5, sequence=2, state=MemberState.GONE)])
     )
     assert table.of("t", "s")[0].failures == 2
-    gone = table.apply(MemberDelta(False, [member("n0", incarnation=6)]))
-    assert [view.incarnation for view in gone] == [5]
+    removed = table.apply(MemberDelta(False, [member("n0", incarnation=6)]))
+    assert [view.incarnation for view in removed] == [5]
     assert table.of("t", "s")[0].failures == 0
--- a/tests/test_node_admission.py
+++ b/tests/test_node_admission.py
@@ -24,7 +24,7 @@
 from cranklane.outcome import Criticality, Reason
 
 REFUSALS = [
-    # draining, remaining, wait, likely time, reason
+    # draining, remaining, wait, likely service time, reason
     (True, -1.0, 9.0, 1.0, Reason.DRAINING),
     (True, 9.0, None, 1.0, Reason.DRAINING),
     (False, 0.0, None, 1.0, Reason.DEADLINE_PASSED),
@@ -72,11 +72,11 @@
 
 def test_recent_refusal_expires():
     now = [10.0]
-    memory = RecentRefusals(lambda: now[0])
-    memory.record("t", Criticality.LOW)
-    assert memory.refused_below("t") == Criticality.LOW + 1
+    recent = RecentRefusals(lambda: now[0])
+    recent.record("t", Criticality.LOW)
+    assert recent.refused_below("t") == Criticality.LOW + 1
     now[0] += RECENT_REFUSAL_SECONDS
-    assert memory.refused_below("t") == 0
+    assert recent.refused_below("t") == 0
 
 
 def test_free_slot_is_used_and_queued_call_with_near_deadline_refused():
