--- a/src/cranklane/node/fair_queue.py
+++ b/src/cranklane/node/fair_queue.py
@@ -22,14 +22,14 @@
     """A call in the queue.
 
     :ivar deadline: the call's deadline in monotonic seconds.
-    :ivar since: monotonic second at which the call was queued.
+    :ivar queued_at: monotonic second at which the call was queued.
     :ivar settle: called once, with NONE if the call gets a slot, else with the refusal reason.
     """
 
     tenant: str
     criticality: Criticality
     deadline: float
-    since: float
+    queued_at: float
     settle: Callable[[Reason], None]
 
 
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -92,7 +92,7 @@
         original_add(self, call)
 
     def take(self: FairQueue, _in_flight: Any, _newest_first: bool) -> Any:
-        for call in sorted(self, key=lambda item: item.since):
+        for call in sorted(self, key=lambda item: item.queued_at):
             self.remove(call)
             return call
         return None
