--- a/src/cranklane/node/admission.py
+++ b/src/cranklane/node/admission.py
@@ -134,7 +134,7 @@
         share = self._share_of(tenant)
         total = share + sum(self._share_of(name) for name in competing)
         slots = max(1.0, self.concurrency.limit * share / total)
-        ahead = self._queue.ahead_of(tenant, criticality)
+        ahead = self._queue.count_ahead(tenant, criticality)
         return expected_wait(ahead, self.concurrency.service_time, slots)
 
     def _wait_for_slot(
--- a/src/cranklane/node/fair_queue.py
+++ b/src/cranklane/node/fair_queue.py
@@ -120,7 +120,7 @@
         heaviest = max(sorted({*self._tenants, new_tenant}), key=load)
         return heaviest if load(heaviest) > load(new_tenant) else new_tenant
 
-    def ahead_of(self, tenant: str, criticality: Criticality) -> int:
+    def count_ahead(self, tenant: str, criticality: Criticality) -> int:
         """Return how many queued calls of a tenant go before a new one."""
         queue = self._tenants.get(tenant)
         if queue is None:
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -100,14 +100,14 @@
     def victim(_self: FairQueue, _newcomer: Any, _in_flight: Any) -> None:
         return None
 
-    def ahead_of(self: FairQueue, _tenant: str, _criticality: Criticality) -> int:
+    def count_ahead(self: FairQueue, _tenant: str, _criticality: Criticality) -> int:
         return self.size
 
     return [
         Replacement(FairQueue, "add", add),
         Replacement(FairQueue, "take", take),
         Replacement(FairQueue, "victim", victim),
-        Replacement(FairQueue, "ahead_of", ahead_of),
+        Replacement(FairQueue, "count_ahead", count_ahead),
     ]
 
 
