--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -164,7 +164,7 @@
 # Simulated fleets on a virtual clock.
 
 
-def run_scenario(script, ledgers=3, seed=1):
+def play(script, ledgers=3, seed=1):
     def scenario(world):
         fleet = SimulatedFleet(world, SMALL)
         run = Run(world, fleet)
@@ -191,7 +191,7 @@
         answers = [send_sign_call(run) for _ in range(3)]
         return [answer.good for answer in answers], count_sign_runs(run)
 
-    assert run_scenario(script) == ([True, True, True], 1)
+    assert play(script) == ([True, True, True], 1)
 
 
 def test_another_request_under_the_same_key_is_refused():
@@ -200,7 +200,7 @@
         answer = send_sign_call(run, "two")
         return answer.outcome, answer.reason, answer.status, count_sign_runs(run)
 
-    assert run_scenario(script) == ("not_run", "key_conflict", 422, 1)
+    assert play(script) == ("not_run", "key_conflict", 422, 1)
 
 
 def test_resent_call_is_refused_while_the_first_is_running():
@@ -212,7 +212,7 @@
         second = send_sign_call(run)
         return second.outcome, second.reason, second.retry_after_ms > 0, first.get().good
 
-    assert run_scenario(script) == ("unknown", "in_progress", True, True)
+    assert play(script) == ("unknown", "in_progress", True, True)
 
 
 def test_once_call_is_refused_at_once_without_a_ledger_quorum():
@@ -229,7 +229,7 @@
             count_sign_runs(run),
         )
 
-    assert run_scenario(script) == ("not_run", "ledger_unavailable", True, True, 0)
+    assert play(script) == ("not_run", "ledger_unavailable", True, True, 0)
 
 
 def test_once_call_continues_after_its_caller_is_lost():
@@ -246,7 +246,7 @@
         gevent.sleep(5.0)
         return first.outcome, send_sign_call(run).good, count_sign_runs(run)
 
-    assert run_scenario(script) == ("unknown", True, 1)
+    assert play(script) == ("unknown", True, 1)
 
 
 def late_runs(run, pause=SimulatedProcess.freeze):
@@ -268,12 +268,12 @@
 
 
 def test_suspended_node_does_not_run_a_call_after_its_lease():
-    assert run_scenario(late_runs) == []
+    assert play(late_runs) == []
 
 
 def test_suspended_node_runs_late_without_the_lease_check(monkeypatch):
     monkeypatch.setattr(once.OnceLease, "may_start", lambda _self: True)
-    assert run_scenario(late_runs)
+    assert play(late_runs)
 
 
 def test_call_with_an_answer_too_large_to_store_runs_once(monkeypatch):
@@ -283,7 +283,7 @@
     def script(run):
         return [send_sign_call(run).outcome for _ in range(2)], count_sign_runs(run)
 
-    outcomes, runs = run_scenario(script)
+    outcomes, runs = play(script)
     assert runs == 1
     assert outcomes[0] == "answered"
 
@@ -300,4 +300,4 @@
             gevent.sleep(15.0)
         return send_sign_call(run).good, count_sign_runs(run)
 
-    assert run_scenario(script) == (True, 1)
+    assert play(script) == (True, 1)
