--- a/src/cranklane/node/members.py
+++ b/src/cranklane/node/members.py
@@ -136,7 +136,7 @@
             current_version = (view.incarnation, view.sequence)
             if (member.incarnation, member.sequence) < current_version:
                 return []
-        if not MemberState(member.state).is_there:
+        if not MemberState(member.state).is_present:
             removed = members.pop(member.node, None)
             return [removed] if removed is not None else []
         if view is None or view.incarnation != member.incarnation:
--- a/src/cranklane/replication/join_request.py
+++ b/src/cranklane/replication/join_request.py
@@ -1,4 +1,4 @@
-"""Asks another replica to be admitted to the group."""
+"""Client for join requests."""
 
 from __future__ import annotations
 
@@ -7,16 +7,18 @@
 from cranklane.replication.state import ReplicaState
 
 
-def ask_to_join(state: ReplicaState, address: str, voter: bool, timeout: float) -> JoinReply | None:
-    """Return a replica's answer to a request to join, or None when none comes in time.
+def send_join_request(
+    state: ReplicaState, address: str, voter: bool, timeout: float
+) -> JoinReply | None:
+    """Send a join request; return the reply, or None on a failure or timeout.
 
-    :param address: of the replica that is asked.
-    :param voter: whether the one that asks is to vote.
+    :param address: address of a member of the group.
+    :param voter: whether this replica is to become a voter.
     :param timeout: in seconds.
     """
-    own = state.own
+    info = state.info
     link = ReplicaLink(state.runtime, address, state.hello())
-    request = JoinRequest(state.identity, voter, own.name, own.address, own.http)
+    request = JoinRequest(state.identity, voter, info.name, info.address, info.http)
     try:
         return link.call(request, JoinReply, timeout)
     finally:
