--- a/src/cranklane/sidecar/admission/__init__.py
+++ b/src/cranklane/sidecar/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admits, queues or refuses requests before the own worker."""
+"""Admission control for the local worker: admits, queues or refuses requests."""
--- a/src/cranklane/sidecar/admission/crash_evidence.py
+++ b/src/cranklane/sidecar/admission/crash_evidence.py
@@ -1,7 +1,7 @@
-"""What exits of the worker, and its answers, say of the requests that it ran.
+"""Reports worker crashes and completed runs to the quarantine.
 
-Turns both into evidence for the quarantine: a crash speaks against the runs under way, an answer
-clears its request. Relies on the worker's exits being reported once each.
+A crash raises suspicion against the requests in flight; a response clears its request. Each exit
+of the worker must be reported exactly once.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 
 class CrashEvidence:
-    """Reports crashes and answers of one worker to the quarantine.
+    """Reports the crashes and responses of one worker to the quarantine.
 
-    :param on_exit: notified of each exit, planned or not, before the quarantine is.
+    :param on_exit: called on each exit, planned or not, before the quarantine is updated.
     """
 
     def __init__(
@@ -41,10 +41,10 @@
         self._on_exit = on_exit
 
     def worker_exited(self, worker_exit: WorkerExit) -> None:
-        """Count a crash against the runs under way; a planned exit is no evidence.
+        """Report a crash against the requests in flight; ignore a planned exit.
 
-        Of copies of one request, the least suspected one counts: copies that were under way
-        before the suspicion arose have not crashed the worker.
+        If several copies of a request were in flight, the lowest suspicion level counts: a copy
+        that started before the request became suspected is not a repeated crash.
         """
         self._on_exit(worker_exit)
         if worker_exit.planned:
@@ -57,8 +57,8 @@
     def reply_after_exit(self, request: ForwardRequest) -> Reply:
         """Return the reply to a run whose worker has exited.
 
-        It says for how long the request is quarantined, if it is: the sender would retry it
-        before the other sidecars' updates reach it.
+        The reply carries the remaining quarantine time, because the sender would otherwise retry
+        the request before quarantine updates from other sidecars reach it.
         """
         if self._worker.state in LEAVING:
             return unknown(Reason.WORKER_LEFT)
@@ -70,7 +70,7 @@
         return reply
 
     def answered(self, request: ForwardRequest) -> None:
-        """Clear a request that the worker has run to its end: it crashes no workers."""
+        """Clear a request whose run completed without crashing the worker."""
         if not self._quarantine.is_empty:
             self._quarantine.answered(identity_of_request(request))
 
--- a/src/cranklane/sidecar/admission/even_fraction.py
+++ b/src/cranklane/sidecar/admission/fraction_sampler.py
@@ -1,12 +1,12 @@
-"""Admits a fraction of a sequence of requests, evenly spread over it."""
+"""Deterministic sampling of a fraction of requests at even intervals."""
 
 from __future__ import annotations
 
 
-class EvenFraction:
-    """Admits each request for which enough credit has come together.
+class FractionSampler:
+    """Accumulates the fraction as credit and admits a request for each whole unit.
 
-    :param credit: what the first request starts with, 0 to 1; it needs 1.
+    :param credit: initial credit, 0 to 1.
     """
 
     __slots__ = ("_credit",)
@@ -15,9 +15,11 @@
         self._credit = credit
 
     def admits(self, fraction: float) -> bool:
-        """Return whether the next request is one of the fraction, 0 to 1.
+        """Return whether to admit the next request.
 
-        >>> half = EvenFraction(0.0)
+        :param fraction: fraction of requests to admit, 0 to 1.
+
+        >>> half = FractionSampler(0.0)
         >>> [half.admits(0.5) for _ in range(6)]
         [False, True, False, True, False, True]
         """
--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -1,10 +1,10 @@
-"""Admits requests to the worker beside this sidecar, and runs those that it admits.
+"""Admits requests to the local worker and runs the admitted ones.
 
-Every request for the worker comes through the gate, so what runs there is counted exactly, and a
-refusal costs the worker nothing. The gate owns the order of the checks and what an admitted
-request occupies. The checks themselves are in ``isolated_runs``, ``outcome_limiter`` and
-``slots``, what a run's end means in ``run_outcome`` and ``crash_evidence``, and when a refused
-request may come again in ``retry_after``.
+All requests to the worker pass through the gate, so the count of running requests is exact and a
+refusal uses no worker capacity. The gate orders the admission checks (``isolated_runs``,
+``outcome_limiter``, ``slots``) and releases the resources of each run. ``run_outcome`` and
+``crash_evidence`` classify how a run ended; ``retry_after`` computes the delay that a refusal
+asks of its caller.
 """
 
 from __future__ import annotations
@@ -36,23 +36,27 @@
 
 
 class GateListener(Protocol):
-    """Notified of what the gate decides and finds out."""
+    """Receives admission decisions and worker exits."""
 
     def admission(
         self, request: str, reason: Reason, running: int, queued: int, slots: int, waited: float
     ) -> None:
-        """Take one decision: NONE for an admission, and the seconds that it took."""
+        """Handle an admission decision.
 
-    def worker_exited(self, exited: WorkerExit) -> None:
-        """Take one exit of the worker's process."""
+        :param reason: reason for the refusal; NONE for an admission.
+        :param waited: seconds from arrival to the decision.
+        """
+
+    def worker_exited(self, worker_exit: WorkerExit) -> None:
+        """Handle an exit of the worker process."""
 
 
 class LocalWorker(NamedTuple):
-    """The worker beside this sidecar, as its gate needs it.
+    """State of the local worker that the gate uses.
 
-    :ivar registry: whether it is there, and where.
-    :ivar slots: how many requests it runs at once, and who waits.
-    :ivar condition: learns how its runs end and how long they take.
+    :ivar registry: the worker's address and lifecycle state.
+    :ivar slots: its concurrency limit and queue.
+    :ivar condition: its health, derived from the results and latencies of its runs.
     """
 
     registry: WorkerRegistry
@@ -62,15 +66,15 @@
 
 @dataclass(slots=True)
 class AdmittedRun:
-    """A request that was admitted, and all that it occupies until it is released.
+    """An admitted request and the resources that it holds until release.
 
-    :ivar arrived_at: monotonic second at which the request came.
-    :ivar started_at: monotonic second at which it got its slot.
+    :ivar arrived_at: monotonic time of arrival, in seconds.
+    :ivar started_at: monotonic time at which it acquired its slot, in seconds.
     :ivar run: its node in the call tree.
-    :ivar number: its number among the runs at the worker.
-    :ivar instance: the start of the worker that is to run it.
-    :ivar limiter_round: round of the outcome limiter in which it began.
-    :ivar suspicion: how strongly it is suspected, and whether it has the isolation slot.
+    :ivar number: sequence number of the run at this worker.
+    :ivar instance: id of the worker process that runs it.
+    :ivar limiter_round: round of the outcome limiter at its start.
+    :ivar suspicion: its suspicion level, and whether it holds the isolation slot.
     """
 
     request: ForwardRequest
@@ -83,10 +87,10 @@
     suspicion: SuspectAdmission
 
 
-def why_closed(serves: bool, state: WorkerState) -> Reason:
-    """Return why a worker gets no request now, or NONE.
+def unavailable_reason(serves: bool, state: WorkerState) -> Reason:
+    """Return the reason why a worker cannot accept a request, or NONE.
 
-    :param serves: whether the worker is of the request's service.
+    :param serves: whether the worker belongs to the request's service.
     """
     if not serves:
         return Reason.NO_MEMBERS
@@ -98,8 +102,8 @@
 class Gate:
     """Admits requests to the worker and runs them.
 
-    :param call_tree: correlates the worker's own calls with the runs that make them.
-    :param quarantine: what is known of requests that crash workers.
+    :param call_tree: correlates the worker's downstream calls with its runs.
+    :param quarantine: requests suspected of crashing workers.
     """
 
     def __init__(
@@ -129,19 +133,19 @@
 
     @property
     def load(self) -> Load:
-        """The worker's load now."""
+        """Current load of the worker."""
         slots = self._slots
         return Load(slots.running, slots.queued, slots.limit, self._condition.now())
 
     @property
     def busy(self) -> bool:
-        """Whether a request runs or waits."""
+        """Whether any request is running or queued."""
         return self._slots.running > 0 or self._slots.queued > 0
 
     def run(self, attempt: Attempt, on_admitted: Callable[[], None] | None = None) -> Reply:
-        """Run a request at the worker, or say at once that it is not run.
+        """Run a request at the worker, or return a refusal.
 
-        :param on_admitted: called once a slot is taken, before anything is sent.
+        :param on_admitted: called after a slot is acquired and before the request is sent.
         """
         reply = self._admit_and_run(attempt, on_admitted)
         reply.load = self.load
@@ -150,7 +154,7 @@
     def _admit_and_run(self, attempt: Attempt, on_admitted: Callable[[], None] | None) -> Reply:
         request = attempt.request
         arrived_at = self._clock()
-        on_wait = _cancels_wait_of(attempt)
+        on_wait = _wait_canceller(attempt)
         suspicion = self._isolated_runs.admit(request, on_wait)
         reason = suspicion.reason
         if reason is Reason.NONE:
@@ -172,15 +176,15 @@
                 reason, self._expected_wait
             )
             return refusal(reason, retry_after_ms=retry_after_ms)
-        admitted = self._occupy(request, arrived_at, started_at, suspicion)
+        admitted = self._register_run(request, arrived_at, started_at, suspicion)
         return self._run(attempt, admitted, on_admitted)
 
-    # Admission.
+    # Admission checks and resource accounting.
 
     def _take_slot(self, request: ForwardRequest, on_wait: Callable[[Waiter], None]) -> Reason:
-        """Take a slot of the worker; return why there is none, or NONE."""
+        """Acquire a worker slot; return the reason for a refusal, or NONE."""
         serves = self._exchange is not None and self._worker.service == request.service
-        reason = why_closed(serves, self._worker.state)
+        reason = unavailable_reason(serves, self._worker.state)
         if reason is not Reason.NONE:
             return reason
         if not self._limiter.admits(request.route, request.priority, request.caller):
@@ -193,23 +197,23 @@
         )
 
     def _expected_wait(self) -> float:
-        """Return the seconds until a request of the highest priority would start."""
+        """Return the expected queue wait of a highest-priority request, in seconds."""
         return self._slots.expected_wait(self._slots.rank(0, 0.0))
 
-    def _occupy(
+    def _register_run(
         self,
         request: ForwardRequest,
         arrived_at: float,
         started_at: float,
         suspicion: SuspectAdmission,
     ) -> AdmittedRun:
-        """Register a request that has its slot wherever runs are counted."""
+        """Register an admitted request with the limiter, call tree and exit tracking."""
         limiter_round = self._limiter.began(request.route)
         root = _root_of(request, arrived_at)
         run = self._call_tree.begin(request.request_id, root, request.tenant)
         number = self._exits.next_number()
         if suspicion.isolated is not None:
-            self._isolated_runs.begins(suspicion.isolated)
+            self._isolated_runs.run_started(suspicion.isolated)
         return AdmittedRun(
             request,
             arrived_at,
@@ -222,7 +226,7 @@
         )
 
     def _release(self, admitted: AdmittedRun) -> None:
-        """Give back all that an admitted request occupies."""
+        """Release all resources of an admitted request."""
         seconds = self._clock() - admitted.started_at
         self._call_tree.end(admitted.request.request_id)
         self._exits.ended(admitted.number)
@@ -230,12 +234,12 @@
         if admitted.suspicion.isolated is not None:
             self._isolated_runs.release(admitted.suspicion.isolated, seconds)
 
-    # Runs.
+    # Execution of admitted requests.
 
     def _run(
         self, attempt: Attempt, admitted: AdmittedRun, on_admitted: Callable[[], None] | None
     ) -> Reply:
-        """Run an admitted request; release it unless its answer is still being read."""
+        """Run an admitted request; release it unless its response is still streaming."""
         reply: Reply | None = None
         try:
             if on_admitted is not None:
@@ -248,7 +252,7 @@
         run_seconds = self._clock() - admitted.started_at
         reply.run_time_ms = round(run_seconds * MILLISECONDS)
         if not attempt.cancelled:
-            self._learn(admitted, reply, run_seconds)
+            self._record_outcome(admitted, reply, run_seconds)
         if reply.reason in run_outcome.NOT_LISTENING:
             self._worker.unreachable()
         if reply.rest is not None:
@@ -263,7 +267,7 @@
         return reply
 
     def _exchange_with_worker(self, attempt: Attempt, admitted: AdmittedRun) -> Reply:
-        """Send a request to the worker and return its answer, or what its exit means."""
+        """Send a request to the worker; return its response or the reply for a worker exit."""
         request = admitted.request
         deadline = admitted.arrived_at + request.deadline_ms / MILLISECONDS
         suspicion_level = admitted.suspicion.suspicion_level
@@ -274,8 +278,8 @@
             return self._evidence.reply_after_exit(request)
         return reply
 
-    def _learn(self, admitted: AdmittedRun, reply: Reply, run_seconds: float) -> None:
-        """Pass on what a run shows of the worker, and of capacity further down."""
+    def _record_outcome(self, admitted: AdmittedRun, reply: Reply, run_seconds: float) -> None:
+        """Record a run's result for the worker's condition, the limiter and the caller."""
         request, run = admitted.request, admitted.run
         reply.downstream_starved = run_outcome.is_downstream_starved(run, reply)
         reply.downstream_cost = run.downstream_cost
@@ -284,15 +288,15 @@
         slowness = None
         if request.expected_latency_us > 0 and run_outcome.measures_latency(reply):
             slowness = ratio_to(request.expected_latency_us / MICROSECONDS, run_seconds)
-        self._condition.run_ended(run_outcome.is_own_fault(run, reply), slowness)
+        self._condition.run_ended(run_outcome.is_worker_fault(run, reply), slowness)
         starved = reply.downstream_starved or run_outcome.may_be_starved(
             reply, self._call_tree.correlates
         )
         self._limiter.ended(request.route, admitted.limiter_round, starved)
 
 
-def _cancels_wait_of(attempt: Attempt) -> Callable[[Waiter], None]:
-    """Return what has a wait for a slot end when its attempt is cancelled."""
+def _wait_canceller(attempt: Attempt) -> Callable[[Waiter], None]:
+    """Return a callback that ends a slot wait when its attempt is cancelled."""
 
     def on_wait(waiter: Waiter) -> None:
         attempt.when_cancelled(lambda: waiter.refuse(Reason.CANCELLED))
@@ -301,7 +305,7 @@
 
 
 def _root_of(request: ForwardRequest, arrived_at: float) -> Root:
-    """Return the request at the root of a request's call tree, by this process's clock."""
+    """Return the root of a request's call tree, with times converted to this process's clock."""
     return Root(
         request.root_priority,
         arrived_at - request.root_age_ms / MILLISECONDS,
--- a/src/cranklane/sidecar/admission/isolated_runs.py
+++ b/src/cranklane/sidecar/admission/isolated_runs.py
@@ -1,11 +1,10 @@
 """Isolates requests suspected of crashing workers.
 
-A suspected request that its sender retries at once runs like any other. One against which there is
-evidence, and one that comes in anew, runs in isolation: with no other such request beside it, and
-at one gate, the same for all senders, so that copies of it wait there for what becomes of the
-first. A gate that gets it from a sender that does not know has it sent there.
+The sender's immediate retry after a first crash runs normally. Any other suspected request runs in
+isolation: at most one per worker, at a single gate that all senders choose alike, so that copies
+of the request wait there for the result of the first. Other gates redirect the request to it.
 
-Owns the isolation slot of one worker. What is known of a request is the quarantine's.
+This module manages the isolation slot of one worker; the quarantine table holds the suspicions.
 """
 
 from __future__ import annotations
@@ -26,51 +25,51 @@
 from cranklane.sidecar.request.identity import Identity
 from cranklane.sidecar.worker.exit import identity_of_request
 
-SEEN_ONCE = 1
-"""Suspicion level of a request that ran beside others at one worker that crashed."""
+INITIAL_SUSPICION_LEVEL = 1
+"""Suspicion level of a request that was in flight during a single crash."""
 
 ISOLATION_SLOTS = 1
-"""Requests that run in isolation at a worker at a time: a crash then tells which one it was."""
+"""Concurrent isolated runs per worker; with one, a crash identifies the request."""
 
 
 class Treatment(Enum):
-    """How a request is run or refused, as far as its past is concerned."""
+    """How a gate handles a request, based on its quarantine state."""
 
     RUN = auto()
-    """Like any other request."""
+    """Run without isolation."""
     REFUSE = auto()
-    """It is quarantined."""
+    """Refuse as quarantined."""
     REDIRECT = auto()
-    """The sender is to send it to the gate that isolates it."""
+    """Refuse, so that the sender retries at the gate that isolates the request."""
     ISOLATE = auto()
-    """It needs the isolation slot."""
+    """Run in the isolation slot."""
 
 
 def treatment_of(
-    state: QuarantineState, suspicion_level: int, is_known_retry: bool, is_sent_here: bool
+    state: QuarantineState, suspicion_level: int, is_known_retry: bool, is_isolation_gate: bool
 ) -> Treatment:
-    """Return how a request is treated.
+    """Return how to handle a request.
 
-    :param is_known_retry: whether its sender retries it since its last worker crashed.
-    :param is_sent_here: whether its sender chose this gate to isolate it.
+    :param is_known_retry: whether its sender retries it after a worker crash.
+    :param is_isolation_gate: whether its sender chose this gate to isolate it.
     """
     if state is QuarantineState.CLEAR:
         return Treatment.RUN
     if state is QuarantineState.QUARANTINED:
         return Treatment.REFUSE
     is_on_probation = state is QuarantineState.ON_PROBATION
-    if is_known_retry and suspicion_level == SEEN_ONCE and not is_on_probation:
+    if is_known_retry and suspicion_level == INITIAL_SUSPICION_LEVEL and not is_on_probation:
         return Treatment.RUN
-    return Treatment.ISOLATE if is_sent_here else Treatment.REDIRECT
+    return Treatment.ISOLATE if is_isolation_gate else Treatment.REDIRECT
 
 
 class SuspectAdmission(NamedTuple):
-    """Whether a request may run as far as its past is concerned.
+    """Admission decision based on a request's quarantine state.
 
-    :ivar reason: why it may not, NONE when it may.
-    :ivar suspicion_level: how strongly it is suspected as it begins.
-    :ivar isolated: its identity where it has the isolation slot.
-    :ivar retry_after_ms: milliseconds until a refused request may come again; 0: not known.
+    :ivar reason: reason for a refusal; NONE if the request may run.
+    :ivar suspicion_level: its suspicion level at the start of the run.
+    :ivar isolated: its identity if it holds the isolation slot.
+    :ivar retry_after_ms: delay before a retry of a refused request, in milliseconds; 0 if unknown.
     """
 
     reason: Reason = Reason.NONE
@@ -83,7 +82,7 @@
 
 
 class IsolatedRuns:
-    """The isolation slot of one worker, and who has it or waits for it.
+    """The isolation slot of one worker, with its holder and queue.
 
     :param clock: monotonic seconds.
     """
@@ -92,13 +91,13 @@
         self._quarantine = quarantine
         self._slot = Slots(clock)
         self._slot.resize(ISOLATION_SLOTS)
-        # Those that have the slot or wait for it; set when the run of one has ended.
-        self._ended: dict[Identity, Event] = {}
+        # By request that holds or awaits the slot; set at the end of its run.
+        self._run_ended: dict[Identity, Event] = {}
 
     def admit(self, request: ForwardRequest, on_wait: Callable[[Waiter], None]) -> SuspectAdmission:
-        """Let a request run, isolated where it must be; refuse one that is quarantined.
+        """Decide on a request, acquiring the isolation slot if the request needs it.
 
-        :param on_wait: given the waiter before a wait for the slot, so that it can be ended.
+        :param on_wait: receives the waiter before a wait for the slot, for cancellation.
         """
         if self._quarantine.is_empty and not request.suspected:
             return _UNSUSPECTED
@@ -122,8 +121,8 @@
         left_ms = retry_after.quarantined_ms(self._quarantine.seconds_left(identity))
         return SuspectAdmission(Reason.QUARANTINED, retry_after_ms=left_ms)
 
-    def _without_slot(self, identity: Identity) -> SuspectAdmission | None:
-        """Return the admission of a request that needs no isolation; None for one that does."""
+    def _admission_without_isolation(self, identity: Identity) -> SuspectAdmission | None:
+        """Return the decision for a clear or quarantined request; None if it needs isolation."""
         state = self._quarantine.state(identity)
         if state is QuarantineState.CLEAR:
             return _UNSUSPECTED
@@ -134,37 +133,41 @@
     def _isolate(
         self, request: ForwardRequest, identity: Identity, on_wait: Callable[[Waiter], None]
     ) -> SuspectAdmission:
-        """Take the isolation slot, or wait for what becomes of a copy that came before."""
+        """Acquire the isolation slot, or wait for the result of an earlier copy."""
         wait_seconds = request.start_within_ms / MILLISECONDS
-        copy_ended = self._ended.get(identity)
+        copy_ended = self._run_ended.get(identity)
         if copy_ended is not None:
             copy_ended.wait(wait_seconds)
-            return self._without_slot(identity) or SuspectAdmission(Reason.RUN_ALONE)
-        self._ended[identity] = Event()
+            return self._admission_without_isolation(identity) or SuspectAdmission(Reason.RUN_ALONE)
+        self._run_ended[identity] = Event()
         root_age = request.root_age_ms / MILLISECONDS
         reason = self._slot.acquire(request.root_priority, wait_seconds, on_wait, root_age)
         if reason is not Reason.NONE:
-            self._end(identity)
+            self._signal_run_ended(identity)
             return SuspectAdmission(reason)
-        # Another gate may have found out meanwhile.
-        admission = self._without_slot(identity)
+        # Another gate may have cleared or quarantined the request during the wait.
+        admission = self._admission_without_isolation(identity)
         if admission is not None:
             self.release(identity, 0.0)
             return admission
         level = self._quarantine.suspicion_level(identity)
         return SuspectAdmission(suspicion_level=level, isolated=identity)
 
-    def begins(self, identity: Identity) -> None:
-        """Take that the run of a request that has the isolation slot begins now."""
+    def run_started(self, identity: Identity) -> None:
+        """Record the start of an isolated run; extend the quarantine of one on probation."""
         if self._quarantine.state(identity) is QuarantineState.ON_PROBATION:
             self._quarantine.probation_run_begins(identity)
 
     def release(self, identity: Identity, occupied_seconds: float) -> None:
-        """Give the isolation slot back, after all is known of the run."""
+        """Release the isolation slot and wake the waiting copies.
+
+        The caller records the run's result without yielding to other greenlets, because the copies
+        read it when they resume.
+        """
         self._slot.release(occupied_seconds)
-        self._end(identity)
+        self._signal_run_ended(identity)
 
-    def _end(self, identity: Identity) -> None:
-        ended = self._ended.pop(identity, None)
+    def _signal_run_ended(self, identity: Identity) -> None:
+        ended = self._run_ended.pop(identity, None)
         if ended is not None:
             ended.set()
--- a/src/cranklane/sidecar/admission/outcome_limiter.py
+++ b/src/cranklane/sidecar/admission/outcome_limiter.py
@@ -1,18 +1,16 @@
-"""Admits less of a route where its runs fail because the calls they need are refused.
+"""Limits the admitted fraction of a route while its runs fail for lack of downstream capacity.
 
-A worker whose own calls fail deep in the call graph answers 500 or 504 after all its work was
-wasted. What helps the overloaded service is fewer requests at the top of the tree, the least
-important first. Each sidecar sees how the runs of its own worker end, so each adapts by itself:
-the fraction of a route's requests that it admits falls by a factor while too many runs fail, and
-grows with time otherwise. It grows fast up to most of what was admitted before it fell, since a
-sudden fault may be over, and slowly from there on.
+Such a run wastes the work of its whole call tree, so load is shed at the root of the tree, lowest
+priority first. Each sidecar adapts to the results of its own worker, without coordination. The
+fraction decreases multiplicatively while too many runs fail and increases over time otherwise:
+fast up to most of its former value, because the fault may be over, and slowly beyond that.
 
-How many failures are too many depends on the priority, so that the less important routes give
-way before the others are touched. A route that workers call is left alone: refusing it would
-waste the trees that it belongs to. It is known by where its requests begin: those of clients
-begin at machines of every service, those of workers at machines of the service that calls it.
+The tolerated fraction of failures is higher for more important priorities. Routes called by
+workers are exempt, because a refusal would waste the call trees that they are part of. Such a
+route is recognized by its callers: nearly all its requests originate at a single service, whereas
+client requests enter through machines of every service.
 
-Owns the admitted fraction of each route. Relies on being given the end of each run that began.
+Every run that began must be reported as ended.
 """
 
 from __future__ import annotations
@@ -21,149 +19,150 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cranklane.sidecar.admission.even_fraction import EvenFraction
+from cranklane.sidecar.admission.fraction_sampler import FractionSampler
 
-# Which runs are too many failures.
+# Overload detection.
 
-TOLERATED_FAILURES = (0.6, 0.35, 0.08)
-"""Fraction of the runs that may fail, by priority from 0; the last holds beyond. A choice: far
-enough apart that each priority has been lowered before the next one's limit is reached, and
-none so low that single failures count."""
+TOLERATED_FAILURE_FRACTIONS = (0.6, 0.35, 0.08)
+"""Tolerated fraction of failed runs by priority, from 0; the last value applies to all further
+priorities. Wide gaps shed a lower priority before a higher one reaches its limit."""
 
 MIN_FAILURES = 2
-"""Failed runs in a round below which the fraction is not lowered: one may be a chance. A choice."""
+"""Failed runs that a round needs to lower the fraction, so that a single failure has no effect."""
 
 MIN_SAMPLES = 20
-"""Runs that a round needs to be judged before its longest time is over. A choice: with fewer,
-one failure more or less crosses the lowest tolerance (0.08)."""
+"""Runs needed to evaluate a round before ``MAX_ROUND_SECONDS``. With fewer runs, a single failure
+can exceed the smallest tolerated fraction."""
 
 ROUND_SECONDS = 0.25
-"""Shortest time over which runs are counted before the fraction changes. A choice: several
-rounds within the time in which clients notice an overload."""
+"""Minimum duration of a round."""
 
 MAX_ROUND_SECONDS = 1.0
-"""Longest time over which runs are counted, however few there are, so that routes with few
-requests are judged too. A choice."""
+"""Duration after which a round is evaluated regardless of its number of runs."""
 
-# How the fraction falls.
+# Decrease of the admitted fraction.
 
 MIN_FRACTION = 0.05
-"""Smallest fraction that is admitted: some runs must show whether the fault is over. A choice."""
+"""Lower bound of the admitted fraction: some runs must probe whether the fault is over."""
 
-DECREASE = 0.6
-"""Fraction by which the admitted fraction falls when every run of a round has failed; less in
-proportion when fewer have. A choice."""
+MAX_DECREASE_FRACTION = 0.6
+"""Relative decrease after a round in which all runs failed; scaled by the fraction of failures."""
 
-MIN_DECREASE_SECONDS = 0.5
-"""Between two decreases: the runs that were admitted before must have ended. A choice."""
+DECREASE_INTERVAL_SECONDS = 0.5
+"""Minimum time between two decreases, so that runs admitted before the first one can end."""
 
-# How the fraction grows. Per second, not per round of runs: counted by runs, the reads of a route
-# with few requests stayed refused for 14 s after a fault of 2 s.
+# Increase of the admitted fraction. Based on time rather than on runs, so that routes with few
+# requests recover as fast as others.
 
-INCREASE = 0.08
-"""Growth of the admitted fraction in a second when few runs have failed. A choice."""
+INCREASE_PER_SECOND = 0.08
+"""Base increase of the admitted fraction while failures are tolerable."""
 
-INCREASE_FACTOR = 0.15
-"""Further growth in a second, per unit of the admitted fraction. A choice: a route of
-which little is admitted grows more carefully."""
+PROPORTIONAL_INCREASE_PER_SECOND = 0.15
+"""Additional increase per unit of the admitted fraction; heavily limited routes grow slowly."""
 
-FAST_INCREASE = 0.4
-"""Growth in a second below the known fraction of what was admitted before the fall: full again
-within about 2 s of the end of a fault. A choice."""
+FAST_INCREASE_PER_SECOND = 0.4
+"""Minimum increase while the fraction is below the limit for fast increase."""
 
-KNOWN_FRACTION = 0.75
-"""Fraction of the ceiling up to which growth is fast: so much was served before. A choice."""
+FAST_INCREASE_CEILING_FRACTION = 0.75
+"""Limit for fast increase, as a fraction of the ceiling."""
 
-CEILING_FADE = 0.95
-"""Factor on the ceiling for each decrease before it was reached again: what was admitted before
-the first fall says less and less. A choice."""
+CEILING_DECAY_FACTOR = 0.95
+"""Reduces the ceiling on a decrease that happens before the fraction has recovered to it."""
 
-# Which routes are left alone.
+# Detection of routes called by workers.
 
 CALLER_SAMPLES = 40
-"""Requests after which it is judged where a route's requests begin. A choice: enough that clients'
-requests at two services or more show as such."""
+"""Requests per sample of callers; enough to detect client requests from two or more services."""
 
-ONE_CALLER_FRACTION = 0.95
-"""A route with this fraction of its requests from one service is called by workers. A choice:
-below 1, as single requests from elsewhere do not make it a route for clients."""
+SINGLE_CALLER_FRACTION = 0.95
+"""Fraction of a sample from one service at which a route counts as called by workers. Below 1 to
+tolerate occasional requests from elsewhere."""
 
 
 def tolerated_failures(priority: int) -> float:
-    """Return the fraction of the runs of a route that may fail.
+    """Return the tolerated fraction of failed runs at a priority.
 
     >>> [tolerated_failures(priority) for priority in (0, 1, 2, 7)]
     [0.6, 0.35, 0.08, 0.08]
     """
-    return TOLERATED_FAILURES[min(priority, len(TOLERATED_FAILURES) - 1)]
+    return TOLERATED_FAILURE_FRACTIONS[min(priority, len(TOLERATED_FAILURE_FRACTIONS) - 1)]
 
 
-def decreased(fraction: float, failing: float) -> float:
-    """Return the admitted fraction after a round of which a fraction has failed.
+def decreased(fraction: float, failed_fraction: float) -> float:
+    """Return the admitted fraction after a round with too many failures.
+
+    :param failed_fraction: fraction of the round's runs that failed.
 
     >>> decreased(1.0, 1.0), decreased(1.0, 0.5), decreased(0.06, 1.0)
     (0.4, 0.7, 0.05)
     """
-    return max(MIN_FRACTION, fraction * (1 - DECREASE * failing))
+    return max(MIN_FRACTION, fraction * (1 - MAX_DECREASE_FRACTION * failed_fraction))
 
 
 def increased(fraction: float, ceiling: float, seconds: float) -> float:
-    """Return the admitted fraction after some seconds in which few runs have failed.
+    """Return the admitted fraction after a time with a tolerable fraction of failures.
 
-    :param ceiling: what was admitted before the fraction fell.
+    :param ceiling: admitted fraction before the decrease.
+    :param seconds: duration of that time.
 
     >>> increased(0.2, 1.0, 1.0), increased(0.2, 0.2, 0.5), increased(0.95, 1.0, 1.0)
     (0.6000000000000001, 0.255, 1.0)
     """
-    rate = INCREASE + INCREASE_FACTOR * fraction
-    if fraction < KNOWN_FRACTION * ceiling:
-        rate = max(rate, FAST_INCREASE)
+    rate = INCREASE_PER_SECOND + PROPORTIONAL_INCREASE_PER_SECOND * fraction
+    if fraction < FAST_INCREASE_CEILING_FRACTION * ceiling:
+        rate = max(rate, FAST_INCREASE_PER_SECOND)
     return min(1.0, fraction + seconds * rate)
 
 
 def ceiling_after_decrease(fraction: float, ceiling: float) -> float:
-    """Return the fraction that counts as admitted before a fall.
+    """Return the ceiling for the recovery from a decrease.
 
-    :param fraction: what is admitted as it falls.
+    :param fraction: admitted fraction before the decrease.
+    :param ceiling: ceiling before the decrease.
 
     >>> ceiling_after_decrease(0.9, 1.0), ceiling_after_decrease(0.4, 1.0)
     (0.9, 0.95)
     """
-    return fraction if fraction >= KNOWN_FRACTION * ceiling else ceiling * CEILING_FADE
+    return (
+        fraction
+        if fraction >= FAST_INCREASE_CEILING_FRACTION * ceiling
+        else ceiling * CEILING_DECAY_FACTOR
+    )
 
 
 @dataclass(slots=True)
 class _RouteAdmission:
-    """What is admitted of one route.
+    """Admission state of one route.
 
-    :ivar tolerated: fraction of its runs that may fail.
-    :ivar round_began_at: monotonic second since which ``runs`` and ``failures`` are counted.
+    :ivar max_failed_fraction: tolerated fraction of failed runs.
+    :ivar round_began_at: monotonic start time of the round that ``runs`` and ``failures`` cover,
+        in seconds.
     :ivar fraction: admitted fraction of the requests, 0 to 1.
-    :ivar even: chooses the requests of the fraction.
-    :ivar ceiling: fraction admitted before it fell.
-    :ivar decreased_at: monotonic second at which it fell last.
-    :ivar round: counts the decreases; only runs begun since the last one count.
-    :ivar called_by_workers: whether all is admitted, as requests begin at one service.
-    :ivar callers: requests of the present sample by the service they began at.
-    :ivar sampled: their number.
+    :ivar sampler: selects the admitted requests.
+    :ivar ceiling: admitted fraction before the decrease.
+    :ivar decreased_at: monotonic time of the last decrease, in seconds.
+    :ivar round: number of decreases; only runs that began after the last one are counted.
+    :ivar called_by_workers: whether the route is exempt because one service sends its requests.
+    :ivar sample_size: requests in the current sample of callers.
+    :ivar callers: requests in the current sample by originating service.
     """
 
-    tolerated: float
+    max_failed_fraction: float
     round_began_at: float
     fraction: float = 1.0
-    even: EvenFraction = field(default_factory=lambda: EvenFraction(credit=1.0))
+    sampler: FractionSampler = field(default_factory=lambda: FractionSampler(credit=1.0))
     ceiling: float = 1.0
     decreased_at: float = -math.inf
     round: int = 0
     runs: int = 0
     failures: int = 0
     called_by_workers: bool = False
-    sampled: int = 0
+    sample_size: int = 0
     callers: dict[str, int] = field(default_factory=dict)
 
 
 class OutcomeLimiter:
-    """The admitted fraction of each route at one worker.
+    """Adapts the admitted fraction of each route to the results of one worker's runs.
 
     :param clock: monotonic seconds.
     """
@@ -173,14 +172,14 @@
         self._routes: dict[str, _RouteAdmission] = {}
 
     def fraction(self, route: str) -> float:
-        """Return the fraction of a route's requests that is admitted, 0 to 1."""
+        """Return the admitted fraction of a route's requests, 0 to 1."""
         admission = self._routes.get(route)
         return admission.fraction if admission is not None else 1.0
 
     def admits(self, route: str, priority: int, caller: str) -> bool:
-        """Return whether a request is admitted, and count it.
+        """Return whether to admit a request, and count its caller.
 
-        :param caller: service of the machine at which the request began.
+        :param caller: service of the machine where the request originated.
         """
         admission = self._routes.get(route)
         if admission is None:
@@ -189,31 +188,31 @@
         self._count_caller(admission, caller)
         if admission.fraction >= 1.0 or admission.called_by_workers:
             return True
-        return admission.even.admits(admission.fraction)
+        return admission.sampler.admits(admission.fraction)
 
     @staticmethod
     def _count_caller(admission: _RouteAdmission, caller: str) -> None:
         admission.callers[caller] = admission.callers.get(caller, 0) + 1
-        admission.sampled += 1
-        if admission.sampled >= CALLER_SAMPLES:
+        admission.sample_size += 1
+        if admission.sample_size >= CALLER_SAMPLES:
             most = max(admission.callers.values())
-            admission.called_by_workers = most >= ONE_CALLER_FRACTION * admission.sampled
+            admission.called_by_workers = most >= SINGLE_CALLER_FRACTION * admission.sample_size
             admission.callers.clear()
-            admission.sampled = 0
+            admission.sample_size = 0
 
     def began(self, route: str) -> int:
-        """Return the round that a run begins in, to be given back when it ends."""
+        """Return the current round of a route, to pass to :meth:`ended` after the run."""
         return self._routes[route].round
 
-    def ended(self, route: str, begun_in: int, failed: bool) -> None:
-        """Count the end of a run.
+    def ended(self, route: str, start_round: int, failed: bool) -> None:
+        """Record the end of a run.
 
-        :param begun_in: what :meth:`began` returned; a run that was admitted before the last
-            decrease says nothing of what is admitted since.
-        :param failed: whether it failed for lack of capacity further down.
+        :param start_round: round returned by :meth:`began`. A run from before the last decrease
+            is ignored, because it does not reflect the current fraction.
+        :param failed: whether it failed for lack of downstream capacity.
         """
         admission = self._routes[route]
-        if begun_in != admission.round:
+        if start_round != admission.round:
             return
         admission.runs += 1
         admission.failures += failed
@@ -222,14 +221,14 @@
             self._end_round(admission)
 
     def _end_round(self, admission: _RouteAdmission) -> None:
-        """Change the admitted fraction by how the runs of a round ended."""
-        failing = admission.failures / admission.runs
+        """Adjust the admitted fraction to the results of a round, and start the next one."""
+        failed_fraction = admission.failures / admission.runs
         now = self._clock()
-        if failing > admission.tolerated and admission.failures >= MIN_FAILURES:
-            if now - admission.decreased_at >= MIN_DECREASE_SECONDS:
+        if failed_fraction > admission.max_failed_fraction and admission.failures >= MIN_FAILURES:
+            if now - admission.decreased_at >= DECREASE_INTERVAL_SECONDS:
                 fraction, ceiling = admission.fraction, admission.ceiling
                 admission.ceiling = ceiling_after_decrease(fraction, ceiling)
-                admission.fraction = decreased(fraction, failing)
+                admission.fraction = decreased(fraction, failed_fraction)
                 admission.decreased_at = now
                 admission.round += 1
         else:
--- a/src/cranklane/sidecar/admission/retry_after.py
+++ b/src/cranklane/sidecar/admission/retry_after.py
@@ -1,20 +1,19 @@
-"""When a refused request may come again: the one place that decides ``Retry-After``.
+"""Computes the ``Retry-After`` delay of refused requests.
 
-Owns every constant and function of that decision in the sidecar. Whoever refuses a request
-puts the result into ``Reply.retry_after_ms``; the ingress writes it with :func:`header_line`.
+A refusal stores the delay in ``Reply.retry_after_ms``; the ingress formats it with
+:func:`header_line`.
 
 ==============================  ====================================================
-refused because                 wait that is sent
+reason for the refusal          delay
 ==============================  ====================================================
-the worker's queue is long      until a request of the highest priority would start,
+worker queue full               expected queue wait of a highest-priority request,
                                 :data:`MIN_QUEUE_MS` to :data:`MAX_QUEUE_MS`
-others like it fail             :data:`REFUSED_EARLY_MS`
-its tenant is over its rate     until the excess has passed,
+outcome limiter                 :data:`REFUSED_EARLY_MS`
+tenant over its rate            time to work off the excess requests,
                                 :data:`MIN_QUOTA_MS` to :data:`MAX_QUOTA_MS`
-the sidecar lacks certain       :data:`UNCERTAIN_MS`
-knowledge to admit it
-it is quarantined               as long as the quarantine lasts
-anything else                   :data:`DEFAULT_MS`
+routes or calling run unknown   :data:`UNCERTAIN_MS`
+quarantine                      remaining time of the quarantine
+any other                       :data:`DEFAULT_MS`
 ==============================  ====================================================
 """
 
@@ -27,46 +26,40 @@
 from cranklane.outcome import Reason
 
 DEFAULT_MS = 200
-"""Milliseconds where it is not known how long the cause will last. A choice: a few times what a
-request takes, so that a client neither hammers the service nor idles."""
+"""Delay if the duration of the cause is unknown; a few typical request durations."""
 
 MIN_QUEUE_MS = 50
-"""Shortest wait, in milliseconds, that is derived from the worker's queue. A choice: a queue
-that is nearly empty now may not be when the client is back."""
+"""Lower bound of delays derived from the worker's queue, which may refill before the retry."""
 
 MAX_QUEUE_MS = 5000
-"""Longest wait, in milliseconds, that is derived from the worker's queue: what is known of it
-now says nothing of a later time. A choice."""
+"""Upper bound of delays derived from the worker's queue, whose length is unpredictable later."""
 
 REFUSED_EARLY_MS = 400
-"""Milliseconds for a request that is refused early, since others like it fail. A choice: by then
-the outcome limiter has seen one or two more of its rounds (0.25 s)."""
+"""Delay after a refusal by the outcome limiter; allows one or two of its rounds to complete."""
 
 MIN_QUOTA_MS = 200
-"""Shortest wait, in milliseconds, of a tenant over its rate. A choice: the same as the default."""
+"""Lower bound of the delay for a tenant over its rate."""
 
 MAX_QUOTA_MS = 5000
-"""Longest wait, in milliseconds, of a tenant over its rate, however far over. A choice: its
-other requests may have stopped long before."""
+"""Upper bound of the delay for a tenant over its rate; its excess load may end sooner."""
 
 UNCERTAIN_MS = 500
-"""Milliseconds where the sidecar does not know enough to admit a request: its route table may be
-out of date, or the run that makes the call is not known. It asks control about twice in that
-time."""
+"""Delay if the sidecar's route table may be stale, or if the run that makes the call is unknown.
+The sidecar queries control about twice in this time."""
 
 ADMITTED_ALL_PERMILLE = 1000
-"""Thousandths of a tenant's requests that are admitted while it is below its rate."""
+"""Admitted thousandths of a tenant's requests while the tenant is below its rate."""
 
 STATUSES = (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE)
-"""Statuses of the sidecar's own answers that carry ``Retry-After``."""
+"""Status codes of sidecar responses that include ``Retry-After``."""
 
 
 def at_worker_ms(reason: Reason, expected_wait: Callable[[], float]) -> int:
-    """Return the wait of a request that was refused before the worker, in milliseconds.
+    """Return the delay for a request that the worker's gate refused, in milliseconds.
 
-    :param reason: why it was refused.
-    :param expected_wait: returns the seconds until a request of the highest priority that came
-        now would start; ``math.inf`` if never. Called only where it counts.
+    :param reason: reason for the refusal.
+    :param expected_wait: returns the expected queue wait of a highest-priority request in
+        seconds, ``math.inf`` without slots. Called only if the delay depends on it.
 
     >>> at_worker_ms(Reason.QUEUE_FULL, lambda: 0.25), at_worker_ms(Reason.DRAINING, lambda: 0.0)
     (250, 50)
@@ -80,12 +73,12 @@
 
 
 def over_quota_ms(permille: int) -> int:
-    """Return the wait of a request of a tenant over its rate, in milliseconds.
+    """Return the delay for a request of a tenant over its rate, in milliseconds.
 
-    A tenant of which one request in three is admitted sends three times its rate: two seconds'
-    worth of every second's requests are in excess.
+    The delay is the time needed to serve one second's excess requests at the tenant's rate: 2 s
+    if one request in three is admitted.
 
-    :param permille: thousandths of the tenant's requests that are admitted.
+    :param permille: admitted thousandths of the tenant's requests.
 
     >>> over_quota_ms(1000), over_quota_ms(500), over_quota_ms(0)
     (200, 1000, 5000)
@@ -96,9 +89,9 @@
 
 
 def quarantined_ms(seconds_left: float) -> int:
-    """Return the wait of a quarantined request, in milliseconds; never zero.
+    """Return the delay for a quarantined request, in milliseconds; at least 1.
 
-    :param seconds_left: how much longer its quarantine lasts.
+    :param seconds_left: remaining time of the quarantine.
 
     >>> quarantined_ms(5.0), quarantined_ms(0.0)
     (5001, 1)
@@ -107,9 +100,9 @@
 
 
 def header_line(retry_after_ms: int) -> bytes:
-    """Return the header line of an answer whose status is one of :data:`STATUSES`.
+    """Return the ``Retry-After`` header line for a response with one of :data:`STATUSES`.
 
-    :param retry_after_ms: what was decided, in milliseconds; 0: nothing was.
+    :param retry_after_ms: delay in milliseconds; 0 selects :data:`DEFAULT_MS`.
 
     >>> header_line(1250), header_line(0)
     (b'Retry-After: 1.250\\r\\n', b'Retry-After: 0.200\\r\\n')
--- a/src/cranklane/sidecar/admission/run_outcome.py
+++ b/src/cranklane/sidecar/admission/run_outcome.py
@@ -1,7 +1,7 @@
-"""What the end of a run says of its worker, and of the services that the worker called.
+"""Classifies the outcome of a run: worker fault, downstream starvation or success.
 
-Pure rules, from the reply to a run and the calls that the run made. The gate passes the
-results on: to the worker's condition, to the outcome limiter and to the caller.
+Pure functions of a run's reply and its downstream calls. The gate reports the results to the
+worker's condition, the outcome limiter and the caller.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from cranklane.sidecar.request.call_tree import Run
 
 WORKER_EXITED = (Reason.WORKER_ENDED, Reason.WORKER_LEFT)
-"""The worker's process ended while it ran the request."""
+"""Reasons for which the worker process exited during the run."""
 
 NOT_LISTENING = (Reason.WORKER_UNREACHABLE, *WORKER_EXITED)
-"""Nobody listens at the worker's address: it gets no more requests until its next heartbeat."""
+"""Reasons that imply a closed port; the worker gets no requests until its next heartbeat."""
 
 _BROKEN_ANSWERS = (Reason.WORKER_FAILED, *WORKER_EXITED, Reason.ANSWER_CUT)
 _SERVER_ERROR = int(HTTPStatus.INTERNAL_SERVER_ERROR)
@@ -24,36 +24,36 @@
 
 
 def has_failed(reply: Reply) -> bool:
-    """Return whether there is no answer, or one that reports an error of the server."""
+    """Return whether a reply has no response or a server error status."""
     return reply.outcome is not Outcome.ANSWERED or reply.status >= _SERVER_ERROR
 
 
 def measures_latency(reply: Reply) -> bool:
-    """Return whether a run's time shows how slow its worker is.
+    """Return whether a run's duration is a valid latency sample for its worker.
 
-    Failed runs don't count, as they may end at once; those that took all their time do.
+    A failed run may end early, so only successful runs and those that hit their deadline qualify.
     """
     return not has_failed(reply) or reply.reason is Reason.DEADLINE_PASSED
 
 
 def is_downstream_starved(run: Run, reply: Reply) -> bool:
-    """Return whether a run failed for lack of capacity further down, or of time."""
+    """Return whether a run failed for lack of downstream capacity or timed out."""
     return _timed_out(reply) or (reply.status == _SERVER_ERROR and run.downstream_starved)
 
 
-def may_be_starved(reply: Reply, correlates: bool) -> bool:
-    """Return whether a run may have failed for lack of capacity further down, unknown to us.
+def may_be_starved(reply: Reply, worker_correlates: bool) -> bool:
+    """Return whether a run may have failed for lack of downstream capacity.
 
-    :param correlates: whether calls of this worker are correlated with its runs. Where they
-        are not, any failed run counts.
+    :param worker_correlates: whether this worker's calls can be matched to its runs. If not, any
+        response with status 500 qualifies.
     """
-    return reply.status == _SERVER_ERROR and not correlates
+    return reply.status == _SERVER_ERROR and not worker_correlates
 
 
-def is_own_fault(run: Run, reply: Reply) -> bool:
-    """Return whether a run failed though the calls that it made did not.
+def is_worker_fault(run: Run, reply: Reply) -> bool:
+    """Return whether the worker rather than a downstream call made a run fail.
 
-    A worker that refuses a request is at fault too: it is never sent more than it has slots for.
+    A refusal by the worker is its fault, because it never gets more requests than it has slots.
     """
     if reply.reason in _BROKEN_ANSWERS or reply.reason is Reason.WORKER_SHED:
         return True
--- a/src/cranklane/sidecar/admission/slots.py
+++ b/src/cranklane/sidecar/admission/slots.py
@@ -1,14 +1,13 @@
-"""The slots of one worker, and the queue before them.
+"""Concurrency slots of one worker and the queue of requests waiting for them.
 
-The more important goes first; priority is that of the request at the root of the call tree.
-Among equals the order is by arrival, with a head start for those that may wait less: a request
-in a hurry is not held up by many that can wait, nor by those of them that have waited so long
-that they will be refused. What a call may wait comes from its root, so the calls of trees that
-are nearly done go before those of fresh ones, which lose less work when they are refused; of two
-such trees the older one has a small head start. Every wait has an end, and what is not expected
-to start until then is refused at once.
+The queue is ordered by the priority of the call tree's root request. Within a priority it is
+ordered by arrival time, adjusted by two terms. Requests with a short wait limit move forward,
+ahead of those that can wait or have waited until near their own limit. Older call trees move
+slightly forward, because refusing them wastes more work. A call's wait limit derives from its
+root, so calls of nearly complete trees come first. A request that is not expected to start within
+its wait limit is refused immediately.
 
-Owns the count of running and queued requests. Relies on each slot being released once.
+Each slot must be released exactly once.
 """
 
 from __future__ import annotations
@@ -24,37 +23,33 @@
 from cranklane.outcome import Reason
 
 HURRY_WEIGHT = 6.0
-"""Seconds of head start for each second that a request may wait less than another. At 1 the order
-is by latest start: under overload, those about to be refused then hold up all others. Drawn call
-trees (``cranklane-lab trees``) earned 0.010 more at 6 than at 1, mean of 20 seeds, -0.027 to
-0.071: its gain is not told apart from none."""
+"""Seconds by which a request moves back in the queue per second of its wait limit. A weight of 1
+orders by latest start time; requests about to time out would then delay all others."""
 
 AGE_WEIGHT = 0.1
-"""Seconds of head start for each second of the age of a request's root. A choice: small against
-``HURRY_WEIGHT``, so that age decides only between requests that may wait about as long."""
+"""Seconds by which a request moves forward per second of its root's age. Much smaller than
+``HURRY_WEIGHT``, so that age only orders requests with similar wait limits."""
 
 MAX_AGE_SECONDS = 1.5
-"""Age of a root beyond which its head start does not grow, so that trees that are late anyway do
-not displace all others. A choice."""
+"""Root age at which the age term is capped, so that late trees do not displace all others."""
 
 SLOT_SECONDS_WEIGHT = 0.05
-"""Weight of the newest request in the smoothed time that a slot is occupied. A choice: the mean
-of about the last 20 requests."""
+"""Weight of the newest sample in the moving average of slot occupancy time."""
 
 INITIAL_SLOT_SECONDS = 0.05
-"""Time that a slot is taken to be occupied before any request has shown it. A choice."""
+"""Initial estimate of the slot occupancy time."""
 
-MAX_ABANDONED = 8
-"""Entries of waits that have ended which are kept, beside as many as are waiting, before they
-are removed: removing reads the whole queue. A choice."""
+MAX_ENDED_ENTRIES = 8
+"""Ended waits, in addition to the number of live ones, that the queue keeps before a cleanup, which
+scans the whole queue."""
 
 
 @dataclass(frozen=True, order=True, slots=True)
 class Rank:
-    """A place in the order; the least goes first.
+    """Sort key of a queued request; the lowest starts first.
 
-    :ivar priority: of the root, 0 first.
-    :ivar effective_arrival: monotonic second of arrival, put off for those that may wait.
+    :ivar priority: priority of the root request; 0 is the most important.
+    :ivar effective_arrival: monotonic arrival time in seconds, adjusted by wait limit and root age.
     """
 
     priority: int
@@ -62,7 +57,7 @@
 
 
 class Waiter:
-    """A request that waits for a slot."""
+    """A queued request."""
 
     __slots__ = ("granted", "refused", "event")
 
@@ -72,26 +67,26 @@
         self.event = Event()
 
     def refuse(self, reason: Reason) -> None:
-        """End the wait without a slot."""
+        """End the wait without a slot, unless it has ended already."""
         if not self.granted and self.refused is Reason.NONE:
             self.refused = reason
             self.event.set()
 
 
 class Slots:
-    """Counts what runs at the worker and who waits.
+    """Grants a worker's slots to requests and queues the rest.
 
     :param clock: monotonic seconds.
-    :ivar limit: requests that run at once.
-    :ivar running: requests that run now.
-    :ivar queued: requests that wait now. Each counts until it is granted a slot or its
-        own task has seen that it is not; entries of the others may stand a while longer.
-    :ivar slot_seconds: smoothed seconds that a request occupies its slot.
+    :ivar limit: maximum number of concurrent requests.
+    :ivar running: requests that hold a slot.
+    :ivar queued: requests that wait for a slot. A refused or timed-out waiter is counted until its
+        own task resumes, and its queue entry may remain for longer.
+    :ivar slot_seconds: moving average of the slot occupancy time.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        # Sorted by rank, so that a place in it is found without reading it all.
+        # Sorted by rank, for binary search.
         self._waiting: list[tuple[Rank, int, Waiter]] = []
         self._numbers = count()
         self.queued = 0
@@ -100,7 +95,7 @@
         self.slot_seconds = INITIAL_SLOT_SECONDS
 
     def expected_wait(self, rank: Rank) -> float:
-        """Return the seconds until a request of a rank would start; ``math.inf`` if never."""
+        """Return the expected wait for a rank in seconds; ``math.inf`` without slots."""
         if self.running < self.limit:
             return 0.0
         if self.limit <= 0:
@@ -109,13 +104,14 @@
         return (ahead + 1) * self.slot_seconds / self.limit
 
     def rank(self, priority: int, wait_seconds: float, root_age: float = 0.0) -> Rank:
-        """Return the place in the order of a request that comes now.
+        """Return the queue rank of a request that arrives now.
 
-        :param root_age: seconds since the root of its call tree was taken.
+        :param wait_seconds: wait limit of the request.
+        :param root_age: age of its call tree's root request in seconds.
         """
-        patience = HURRY_WEIGHT * wait_seconds
-        age = AGE_WEIGHT * min(root_age, MAX_AGE_SECONDS)
-        return Rank(priority, self._clock() + patience - age)
+        wait_penalty = HURRY_WEIGHT * wait_seconds
+        age_credit = AGE_WEIGHT * min(root_age, MAX_AGE_SECONDS)
+        return Rank(priority, self._clock() + wait_penalty - age_credit)
 
     def acquire(
         self,
@@ -124,10 +120,12 @@
         on_wait: Callable[[Waiter], None],
         root_age: float = 0.0,
     ) -> Reason:
-        """Take a slot, waiting up to ``wait_seconds``; NONE means it is taken.
+        """Acquire a slot, waiting up to ``wait_seconds``.
 
-        :param on_wait: given the waiter before the wait, so that it can be ended.
-        :param root_age: seconds since the root of its call tree was taken.
+        :param priority: priority of the root request.
+        :param on_wait: receives the waiter before the wait, for cancellation.
+        :param root_age: age of the call tree's root request in seconds.
+        :returns: NONE after acquiring the slot, else the reason for the refusal.
         """
         if self.running < self.limit and self.queued == 0:
             self.running += 1
@@ -146,25 +144,25 @@
         if waiter.refused is Reason.NONE:
             waiter.refused = Reason.DEADLINE_TOO_NEAR
         self.queued -= 1
-        self._drop_abandoned()
+        self._remove_ended()
         return waiter.refused
 
     def release(self, occupied_seconds: float) -> None:
-        """Give a slot back.
+        """Release a slot and grant it to the next waiter.
 
-        :param occupied_seconds: how long the request occupied it.
+        :param occupied_seconds: time for which the request held it.
         """
         self.slot_seconds += SLOT_SECONDS_WEIGHT * (occupied_seconds - self.slot_seconds)
         self.running -= 1
         self._grant()
 
     def resize(self, limit: int) -> None:
-        """Change how many may run at once."""
+        """Change the number of slots; grant new ones to waiters."""
         self.limit = limit
         self._grant()
 
     def refuse_waiting(self, reason: Reason) -> None:
-        """End every wait."""
+        """Refuse all queued requests."""
         for _, _, waiter in self._waiting:
             waiter.refuse(reason)
 
@@ -178,7 +176,7 @@
             self.running += 1
             waiter.event.set()
 
-    def _drop_abandoned(self) -> None:
-        """Remove the entries of waits that have ended, once they are many."""
-        if len(self._waiting) > 2 * self.queued + MAX_ABANDONED:
+    def _remove_ended(self) -> None:
+        """Remove the entries of ended waits if they exceed the bound."""
+        if len(self._waiting) > 2 * self.queued + MAX_ENDED_ENTRIES:
             self._waiting = [entry for entry in self._waiting if entry[2].refused is Reason.NONE]
--- a/src/cranklane/sidecar/admission/streamed_answer.py
+++ b/src/cranklane/sidecar/admission/streamed_answer.py
@@ -1,6 +1,6 @@
-"""An answer that is passed on piece by piece while its request keeps its slot.
+"""Streams a response body while the request holds its slot.
 
-Owns the end of such an answer: whatever becomes of it, the slot is given back exactly once.
+Releases the slot exactly once, also after an error or an early close.
 """
 
 from __future__ import annotations
@@ -11,42 +11,45 @@
 
 
 class StreamedAnswer:
-    """The further pieces of an answer; iterating it reads them from the worker.
+    """Iterator over the remaining chunks of a response body.
 
-    Not a generator: one that was never started would give nothing back when closed.
+    A generator is unsuitable, because closing one that was never started skips its cleanup.
 
-    :param pieces: reads the pieces; raises AnswerCutError when they end too early.
-    :param on_end: called once, at the end, at a failure or by :meth:`close`.
-    :param on_cut: called when the answer ends too early, before ``on_end``.
-    :param on_whole: called when its last piece was read, before ``on_end``.
+    :param chunks: generator of the chunks; raises AnswerCutError on a truncated response.
+    :param on_end: called once: after the last chunk, on an error or by :meth:`close`.
+    :param on_truncated: called before ``on_end`` if the response is truncated.
+    :param on_complete: called before ``on_end`` if the response is complete.
     """
 
     def __init__(
         self,
-        pieces: Iterator[bytes],
+        chunks: Iterator[bytes],
         on_end: Callable[[], None],
-        on_cut: Callable[[], object] = bool,
-        on_whole: Callable[[], object] = bool,
+        on_truncated: Callable[[], object] = bool,
+        on_complete: Callable[[], object] = bool,
     ) -> None:
-        self._pieces = pieces
-        self._on_cut = on_cut
-        self._on_whole = on_whole
+        self._chunks = chunks
+        self._on_truncated = on_truncated
+        self._on_complete = on_complete
         self._on_end: Callable[[], None] | None = on_end
 
     def __iter__(self) -> StreamedAnswer:
-        """Return itself."""
+        """Return the iterator itself."""
         return self
 
     def __next__(self) -> bytes:
-        """Return the next piece."""
+        """Return the next chunk.
+
+        :raises AnswerCutError: the response ended too early.
+        """
         try:
-            return next(self._pieces)
+            return next(self._chunks)
         except StopIteration:
-            self._on_whole()
+            self._on_complete()
             self.close()
             raise
         except AnswerCutError:
-            self._on_cut()
+            self._on_truncated()
             self.close()
             raise
         except BaseException:
@@ -54,8 +57,8 @@
             raise
 
     def close(self) -> None:
-        """Give the slot back, however much was read."""
+        """Release the slot; unread chunks are discarded."""
         on_end, self._on_end = self._on_end, None
         if on_end is not None:
-            self._pieces.close()  # type: ignore[attr-defined]
+            self._chunks.close()  # type: ignore[attr-defined]
             on_end()
--- a/src/cranklane/sidecar/admission/tenant_quota.py
+++ b/src/cranklane/sidecar/admission/tenant_quota.py
@@ -1,12 +1,12 @@
-"""Holds tenants to their rates together with all other sidecars.
+"""Enforces fleet-wide tenant rate limits at one sidecar.
 
-Control counts what all sidecars admit and says which fraction of a tenant's requests to admit
-(``control/fleet_quotas.py``). The fraction is the same at each sidecar, however unevenly a
-tenant's requests come in, and it is 1 for tenants below their rate. While control's last update
-has expired, a sidecar uses its own even share of the rate: what it admits is not counted then.
+Control aggregates the usage of all sidecars and distributes the fraction of each tenant's requests
+to admit (``controller/fleet_quotas.py``): 1 for tenants below their rate, and the same at every
+sidecar regardless of how a tenant's requests are distributed. After the last update has expired, a
+sidecar falls back to a token bucket with an equal share of the rate.
 
-Owns the counts of one sidecar since its last report. Relies on control's clock for nothing: the
-age of an update is measured here, from when it was asked for.
+The age of an update is measured on the local clock from the time of the request to control, so no
+clock synchronization is needed.
 """
 
 from __future__ import annotations
@@ -20,33 +20,30 @@
 
 from cranklane.records.messages import TenantShare, TenantUsage
 from cranklane.routes.tenants import Tenant
-from cranklane.sidecar.admission.even_fraction import EvenFraction
+from cranklane.sidecar.admission.fraction_sampler import FractionSampler
 from cranklane.sidecar.admission.retry_after import ADMITTED_ALL_PERMILLE
 
 UPDATE_SECONDS = 1.2
-"""Age, in seconds, at which control's last update expires. A choice: twice the time between
-heartbeats, so that one that is late changes nothing."""
+"""Age at which control's last update expires: two heartbeat intervals, to tolerate a late one."""
 
 OWN_SHARE_BURST = 3.0
-"""Requests of a tenant that a sidecar without an update admits at once. At 60% of a limit, 71
-sidecars and 26 requests/s of a tenant, fewer than 1 in 1,000 is refused in 2 s (Poisson
-arrivals, worked out)."""
+"""Token bucket capacity per tenant in the fallback, in requests."""
 
 
 @dataclass(slots=True)
 class _Account:
-    """What this sidecar knows of one tenant.
+    """Quota state of one tenant at this sidecar.
 
+    :ivar sampler: selects the admitted requests.
+    :ivar filled_at: monotonic time of the last token refill, in seconds.
     :ivar permille: fraction of its requests to admit, in thousandths.
-    :ivar even: chooses the requests of the fraction.
-    :ivar filled_at: monotonic second at which ``tokens`` were filled last.
-    :ivar tokens: requests that the own share allows now, while there is no update.
-    :ivar offered: requests since the last report.
-    :ivar admitted: those of them that were admitted.
-    :ivar returned: requests admitted that have not run, since the last report.
+    :ivar tokens: requests that the token bucket allows in the fallback.
+    :ivar offered: requests received since the last report.
+    :ivar admitted: requests admitted since the last report.
+    :ivar returned: admitted requests that did not run, since the last report.
     """
 
-    even: EvenFraction
+    sampler: FractionSampler
     filled_at: float
     permille: int = ADMITTED_ALL_PERMILLE
     tokens: float = OWN_SHARE_BURST
@@ -56,10 +53,10 @@
 
 
 class TenantQuota:
-    """The tenants' rates at one sidecar.
+    """Admits tenants' requests within their rates.
 
     :param clock: monotonic seconds.
-    :param fleet_size: returns how many sidecars there are.
+    :param fleet_size: returns the number of sidecars.
     :ivar used: set while there is usage to report.
     """
 
@@ -73,19 +70,19 @@
         self._updated_at = -math.inf
         self.used = Event()
 
-    # Updates of control.
+    # Updates from control.
 
     def updated(self, asked_at: float) -> None:
-        """Take that control has answered.
+        """Record a response from control, which renews the validity of the fractions.
 
-        :param asked_at: monotonic second at which it was asked.
+        :param asked_at: monotonic time of the request to control, in seconds.
         """
         self._updated_at = max(self._updated_at, asked_at)
 
     def take_shares(self, whole: bool, shares: list[TenantShare]) -> None:
-        """Take the fractions of tenants' requests to admit.
+        """Apply an update of the fractions of tenants' requests to admit.
 
-        :param whole: whether all tenants that are not named are below their rates.
+        :param whole: whether the list is complete; tenants missing from it are below their rates.
         """
         if whole:
             for account in self._accounts.values():
@@ -93,10 +90,10 @@
         for share in shares:
             self._account(share.tenant).permille = share.permille
 
-    # Requests.
+    # Admission of requests.
 
     def admits(self, tenant: Tenant) -> bool:
-        """Return whether a request of a tenant is within its rate, and count it."""
+        """Return whether to admit a tenant's request, and count it."""
         if tenant.rate_per_second <= 0:
             return True
         account = self._account(tenant.name)
@@ -105,19 +102,19 @@
         if self._clock() - self._updated_at <= UPDATE_SECONDS:
             admitted = self._within_fraction(account)
         else:
-            admitted = self._within_own_share(account, tenant)
+            admitted = self._within_local_share(account, tenant)
         account.admitted += admitted
         return admitted
 
     def returned(self, tenant: str) -> None:
-        """Take that a request that was admitted has not run."""
+        """Record that an admitted request did not run."""
         account = self._accounts.get(tenant)
         if account is not None:
             account.returned += 1
             self.used.set()
 
     def permille(self, tenant: str) -> int:
-        """Return the fraction of a tenant's requests that is admitted, in thousandths."""
+        """Return the admitted fraction of a tenant's requests, in thousandths."""
         account = self._accounts.get(tenant)
         return account.permille if account is not None else ADMITTED_ALL_PERMILLE
 
@@ -125,9 +122,9 @@
     def _within_fraction(account: _Account) -> bool:
         if account.permille >= ADMITTED_ALL_PERMILLE:
             return True
-        return account.even.admits(account.permille / ADMITTED_ALL_PERMILLE)
+        return account.sampler.admits(account.permille / ADMITTED_ALL_PERMILLE)
 
-    def _within_own_share(self, account: _Account, tenant: Tenant) -> bool:
+    def _within_local_share(self, account: _Account, tenant: Tenant) -> bool:
         now = self._clock()
         rate = tenant.rate_per_second / max(1, self._fleet_size())
         account.tokens = min(OWN_SHARE_BURST, account.tokens + (now - account.filled_at) * rate)
@@ -140,13 +137,13 @@
     def _account(self, name: str) -> _Account:
         account = self._accounts.get(name)
         if account is None:
-            # A random start, so that not all sidecars refuse the same one of their requests.
-            account = _Account(EvenFraction(self._random.random()), self._clock())
+            # Random initial credit, so that sidecars do not refuse in lockstep.
+            account = _Account(FractionSampler(self._random.random()), self._clock())
             self._accounts[name] = account
         return account
 
     def take_usage(self) -> list[TenantUsage]:
-        """Return what has come since the last call, for control to count."""
+        """Return the usage since the last call, for the report to control, and reset it."""
         self.used.clear()
         usage = []
         for name, account in self._accounts.items():
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,11 +1,11 @@
-"""Which requests the gate of a worker refuses, and what a crash says to the caller."""
+"""Gate refusals by worker state, and the effects of a worker crash on its requests."""
 
 import pytest
 
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.messages import ForwardRequest
 from cranklane.sidecar.admission.crash_evidence import CrashEvidence
-from cranklane.sidecar.admission.gate import why_closed
+from cranklane.sidecar.admission.gate import unavailable_reason
 from cranklane.sidecar.quarantine.entry import crash_id
 from cranklane.sidecar.quarantine.rules import QuarantineState
 from cranklane.sidecar.quarantine.table import Quarantine
@@ -25,11 +25,11 @@
         *[(False, state, Reason.NO_MEMBERS) for state in WorkerState],
     ],
 )
-def test_why_a_worker_gets_no_request(serves, state, reason):
-    assert why_closed(serves, state) is reason
+def test_unavailable_reason_by_worker_state(serves, state, reason):
+    assert unavailable_reason(serves, state) is reason
 
 
-class Worker:
+class StubWorker:
     service = "s"
 
     def __init__(self, state):
@@ -40,26 +40,26 @@
 IDENTITY = identity_of_request(REQUEST)
 
 
-def evidence(state):
+def make_evidence(state):
     table = Quarantine(lambda: 100.0, lambda _entries: None)
-    return table, CrashEvidence(Worker(state), table, lambda _exit: None)
+    return table, CrashEvidence(StubWorker(state), table, lambda _exit: None)
 
 
-def interrupted(level):
+def interrupted_run(level):
     return InterruptedRun("a", IDENTITY, 0.1, level)
 
 
 def test_a_planned_exit_is_no_evidence():
-    table, crashes = evidence(WorkerState.DRAINING)
-    crashes.worker_exited(WorkerExit("one", True, (interrupted(0),)))
+    table, crashes = make_evidence(WorkerState.DRAINING)
+    crashes.worker_exited(WorkerExit("one", True, (interrupted_run(0),)))
     assert table.is_empty
     reply = crashes.reply_after_exit(REQUEST)
     assert (reply.outcome, reply.reason) == (Outcome.UNKNOWN, Reason.WORKER_LEFT)
 
 
-def test_a_crash_makes_its_runs_suspected_and_an_answer_clears_them():
-    table, crashes = evidence(WorkerState.READY)
-    crashes.worker_exited(WorkerExit("one", False, (interrupted(0),)))
+def test_a_crash_raises_suspicion_and_a_response_clears_it():
+    table, crashes = make_evidence(WorkerState.READY)
+    crashes.worker_exited(WorkerExit("one", False, (interrupted_run(0),)))
     assert table.state(IDENTITY) is QuarantineState.SUSPECTED
     reply = crashes.reply_after_exit(REQUEST)
     assert (reply.reason, reply.retry_after_ms) == (Reason.WORKER_ENDED, 0)
@@ -67,16 +67,16 @@
     assert table.is_empty
 
 
-def test_the_reply_after_a_crash_says_how_long_the_request_is_quarantined():
-    table, crashes = evidence(WorkerState.READY)
+def test_reply_after_a_crash_carries_the_remaining_quarantine():
+    table, crashes = make_evidence(WorkerState.READY)
     table.worker_crashed("s", crash_id("one"), {IDENTITY: 0})
-    crashes.worker_exited(WorkerExit("two", False, (interrupted(1),)))
+    crashes.worker_exited(WorkerExit("two", False, (interrupted_run(1),)))
     assert table.state(IDENTITY) is QuarantineState.QUARANTINED
     assert crashes.reply_after_exit(REQUEST).retry_after_ms == 5001
 
 
-def test_of_copies_of_a_request_the_least_suspected_counts():
-    table, crashes = evidence(WorkerState.READY)
+def test_lowest_suspicion_level_of_concurrent_copies_counts():
+    table, crashes = make_evidence(WorkerState.READY)
     table.worker_crashed("s", crash_id("one"), {IDENTITY: 0})
-    crashes.worker_exited(WorkerExit("two", False, (interrupted(0), interrupted(1))))
+    crashes.worker_exited(WorkerExit("two", False, (interrupted_run(0), interrupted_run(1))))
     assert table.state(IDENTITY) is QuarantineState.SUSPECTED
--- a/tests/test_isolated_runs.py
+++ b/tests/test_isolated_runs.py
@@ -1,4 +1,4 @@
-"""How a request that may crash workers is treated by the gate that gets it."""
+"""Gate decisions for requests suspected of crashing workers."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize(
-    ("state", "level", "is_known_retry", "is_sent_here", "treatment"),
+    ("state", "level", "is_known_retry", "is_isolation_gate", "treatment"),
     [
         (CLEAR, 0, False, False, Treatment.RUN),
         (CLEAR, 0, True, True, Treatment.RUN),
@@ -26,5 +26,5 @@
         (ON_PROBATION, 2, False, False, Treatment.REDIRECT),
     ],
 )
-def test_how_a_request_is_treated(state, level, is_known_retry, is_sent_here, treatment):
-    assert treatment_of(state, level, is_known_retry, is_sent_here) is treatment
+def test_treatment_by_quarantine_state(state, level, is_known_retry, is_isolation_gate, treatment):
+    assert treatment_of(state, level, is_known_retry, is_isolation_gate) is treatment
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -61,7 +61,9 @@
             return SuspectAdmission()
         identity = isolated_runs.identity_of_request(request)
         level = self._quarantine.suspicion_level(identity)
-        return self._without_slot(identity) or SuspectAdmission(suspicion_level=level)
+        return self._admission_without_isolation(identity) or SuspectAdmission(
+            suspicion_level=level
+        )
 
     monkeypatch.setattr(isolated_runs.IsolatedRuns, "admit", admit)
     assert play(ends_beside_others, **MANY) > 3
--- a/tests/test_retry_after.py
+++ b/tests/test_retry_after.py
@@ -1,4 +1,4 @@
-"""How long a refused request is told to wait, for each cause of a refusal."""
+"""``Retry-After`` delays by reason for the refusal."""
 
 import math
 
@@ -22,7 +22,7 @@
         (Reason.REFUSED_EARLY, math.inf, 400),
     ],
 )
-def test_refused_before_the_worker(reason, expected_wait, milliseconds):
+def test_delay_after_a_refusal_at_the_gate(reason, expected_wait, milliseconds):
     assert retry_after.at_worker_ms(reason, lambda: expected_wait) == milliseconds
 
 
@@ -30,18 +30,18 @@
     ("permille", "milliseconds"),
     [(1000, 200), (900, 200), (500, 1000), (250, 3000), (100, 5000), (1, 5000), (0, 5000)],
 )
-def test_a_tenant_over_its_rate(permille, milliseconds):
+def test_delay_for_a_tenant_over_its_rate(permille, milliseconds):
     assert retry_after.over_quota_ms(permille) == milliseconds
 
 
 @pytest.mark.parametrize(
     ("seconds_left", "milliseconds"), [(0.0, 1), (0.0004, 1), (4.2, 4201), (3600.0, 3600001)]
 )
-def test_a_quarantined_request_waits_until_its_quarantine_is_over(seconds_left, milliseconds):
+def test_delay_covers_the_remaining_quarantine(seconds_left, milliseconds):
     assert retry_after.quarantined_ms(seconds_left) == milliseconds
 
 
-def test_constants_that_depend_on_nothing():
+def test_fixed_delays():
     assert (retry_after.DEFAULT_MS, retry_after.UNCERTAIN_MS) == (200, 500)
 
 
@@ -53,7 +53,7 @@
         (5001, b"Retry-After: 5.001\r\n"),
     ],
 )
-def test_the_header_line(milliseconds, line):
+def test_header_line_format(milliseconds, line):
     assert retry_after.header_line(milliseconds) == line
 
 
@@ -69,5 +69,5 @@
         (Outcome.UNKNOWN, Reason.DEADLINE_PASSED, False),
     ],
 )
-def test_which_answers_carry_it(outcome, reason, carries):
+def test_statuses_that_carry_the_header(outcome, reason, carries):
     assert (status_of(outcome, reason) in retry_after.STATUSES) is carries
--- a/tests/test_run_outcome.py
+++ b/tests/test_run_outcome.py
@@ -1,4 +1,4 @@
-"""What the end of a run says of its worker, and of the services that the worker called."""
+"""Classification of run outcomes: worker fault, downstream starvation, latency samples."""
 
 import pytest
 
@@ -28,14 +28,14 @@
         (NOT_RUN, Reason.WORKER_SHED, 0, True, False),
     ],
 )
-def test_which_runs_fail_and_which_measure_latency(outcome, reason, status, failed, measures):
+def test_failures_and_latency_samples(outcome, reason, status, failed, measures):
     reply = Reply(outcome, reason, status=status)
     assert run_outcome.has_failed(reply) is failed
     assert run_outcome.measures_latency(reply) is measures
 
 
 @pytest.mark.parametrize(
-    ("reply", "ended", "own_fault", "starved"),
+    ("reply", "ended", "worker_fault", "starved"),
     [
         (Reply(ANSWERED, status=200), run(), False, False),
         (Reply(ANSWERED, status=500), run(), True, False),
@@ -54,8 +54,8 @@
         (Reply(NOT_RUN, Reason.WORKER_UNREACHABLE), run(), False, False),
     ],
 )
-def test_whose_fault_a_run_is(reply, ended, own_fault, starved):
-    assert run_outcome.is_own_fault(ended, reply) is own_fault
+def test_worker_fault_and_downstream_starvation(reply, ended, worker_fault, starved):
+    assert run_outcome.is_worker_fault(ended, reply) is worker_fault
     assert run_outcome.is_downstream_starved(ended, reply) is starved
 
 
@@ -63,5 +63,5 @@
     ("status", "correlates", "may_be"),
     [(500, False, True), (500, True, False), (504, False, False), (200, False, False)],
 )
-def test_where_calls_are_not_correlated_any_500_may_be_starved(status, correlates, may_be):
+def test_any_500_may_be_starved_without_correlation(status, correlates, may_be):
     assert run_outcome.may_be_starved(Reply(ANSWERED, status=status), correlates) is may_be
