--- a/src/cranklane/sidecar/quarantine/__init__.py
+++ b/src/cranklane/sidecar/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Which requests are suspected of crashing workers, and are refused everywhere."""
+"""Fleet-wide quarantine of requests suspected of crashing workers."""
--- a/src/cranklane/sidecar/quarantine/anti_entropy.py
+++ b/src/cranklane/sidecar/quarantine/anti_entropy.py
@@ -1,11 +1,8 @@
-"""Compares this sidecar's quarantine with that of others, to repair what updates have missed.
+"""Synchronizes the quarantine tables of sidecars, to repair updates missed by gossip.
 
-What a cut or a restart has kept from a sidecar it learns from any other: when it starts, when its
-worker comes back, when control is found again, and, while anything is quarantined, from a
-comparison with one other now and then.
-
-Owns when to compare and with whom. Relies on the table's digest: equal digests mean that the same
-requests are quarantined at both.
+A sidecar synchronizes with a peer after its start, after a restart of its worker, on reconnecting
+to control, and periodically while any request is quarantined. Equal table digests mean that both
+sidecars quarantine the same requests.
 """
 
 from __future__ import annotations
@@ -16,36 +13,35 @@
 
 from cranklane.records.messages import QuarantineEntry, QuarantineNews
 from cranklane.runtime.interface import Address, Runtime
-from cranklane.sidecar.quarantine.sidecar_directory import OtherSidecar, SidecarDirectory
+from cranklane.sidecar.quarantine.sidecar_directory import PeerSidecar, SidecarDirectory
 from cranklane.sidecar.quarantine.table import Quarantine
 
-COMPARE_SECONDS = 2.0
-"""Between two comparisons with another sidecar while anything is quarantined. A choice: one that
-was cut off learns of a quarantine about this long after it is back."""
+COMPARE_INTERVAL_SECONDS = 2.0
+"""Interval of periodic synchronization; bounds the delay after a network partition heals."""
 
-MAX_ASKED = 3
-"""Sidecars that are asked in one round, until one answers. A choice: of three, one is seldom
-neither paused nor cut off."""
+MAX_PEERS_PER_ROUND = 3
+"""Peers queried in one round, until one responds."""
 
-ANSWER_SECONDS = 0.1
-"""Time after which another sidecar is asked too: the first may be paused or cut off. A choice."""
+HEDGE_DELAY_SECONDS = 0.1
+"""Time without a response after which the next peer is queried in parallel."""
 
-CATCH_UP_PAUSE_SECONDS = 0.1
-"""Pause before the second round; each is longer by as much. A choice."""
+CATCH_UP_BACKOFF_SECONDS = 0.1
+"""Linear backoff step between catch-up rounds."""
 
 CATCH_UP_ROUNDS = 8
-"""Rounds of asking others that do not know either, 4 s in all. A choice: sidecars that were killed
-together start within that time, and by then one of them has met one that knows."""
+"""Catch-up rounds before giving up, about 4 s in total. Long enough for sidecars that restart
+together to reach a peer with a complete table."""
 
 Exchange = Callable[[Address, QuarantineNews], QuarantineNews | None]
-"""Sends a record to a sidecar and returns its answer, None when it gives none."""
+"""Sends a record to a sidecar and returns its response; None if there is none."""
 
 
 class AntiEntropy:
-    """Learns from other sidecars what they have quarantined, and corrects them.
+    """Exchanges quarantine entries and clearings with peers until the tables agree.
 
-    :param merge: takes entries that another sidecar reported.
-    :ivar settled: whether this sidecar has learnt from others since its start, as far as it can.
+    :param exchange: sends a record to a peer.
+    :param merge: merges entries reported by a peer.
+    :ivar settled: whether this sidecar has finished its first catch-up since its start.
     """
 
     def __init__(
@@ -65,18 +61,19 @@
         self.settled = False
 
     def run(self) -> None:
-        """Compare with another sidecar now and then while anything is quarantined, for ever."""
+        """Synchronize periodically while any request is quarantined; never returns."""
         while True:
-            self._table.filled.wait()
-            gevent.sleep(COMPARE_SECONDS)
+            self._table.has_entries.wait()
+            gevent.sleep(COMPARE_INTERVAL_SECONDS)
             self._table.forget_old()
             if self._table.quarantined():
-                self._learn()
+                self._sync_with_peers()
 
     def catch_up(self) -> None:
-        """Learn what is quarantined until a sidecar has answered that is settled.
+        """Synchronize with peers until a settled one has responded.
 
-        One that has just started itself may know nothing. Where all have, nobody does.
+        A peer that is not settled may itself have an empty table. If all peers have just started,
+        the rounds run out and this sidecar counts as settled.
         """
         if self._catching_up:
             return
@@ -85,38 +82,39 @@
         while rounds < CATCH_UP_ROUNDS:
             if self._directory.of():
                 rounds += 1
-                if self._learn():
+                if self._sync_with_peers():
                     break
-            gevent.sleep(CATCH_UP_PAUSE_SECONDS * (1 + rounds))
+            gevent.sleep(CATCH_UP_BACKOFF_SECONDS * (1 + rounds))
         self.settled = True
         self._catching_up = False
 
-    def _learn(self) -> bool:
-        """Compare with others at random; return whether one answered that is settled.
+    def _sync_with_peers(self) -> bool:
+        """Synchronize with random peers; return whether a settled one responded.
 
-        Those whose workers are there come first. The next one is asked when the one before it
-        has not answered for a moment.
+        Present peers come first. Queries the next peer after the hedge delay without a response.
         """
-        others = self._directory.of()
-        self._runtime.random.shuffle(others)
-        others.sort(key=lambda other: other.away_since is not None)
+        peers = self._directory.of()
+        self._runtime.random.shuffle(peers)
+        peers.sort(key=lambda peer: peer.absent_since is not None)
         tasks = []
-        for other in others[:MAX_ASKED]:
-            tasks.append(self._runtime.spawn(self._compare, other))
-            if any(task.value for task in gevent.wait(tasks, ANSWER_SECONDS, count=len(tasks))):
+        for peer in peers[:MAX_PEERS_PER_ROUND]:
+            tasks.append(self._runtime.spawn(self._sync_with, peer))
+            if any(
+                task.value for task in gevent.wait(tasks, HEDGE_DELAY_SECONDS, count=len(tasks))
+            ):
                 return True
         return any(task.value for task in gevent.wait(tasks))
 
-    def _compare(self, other: OtherSidecar) -> bool:
-        """Exchange entries with another until both agree; return whether it is settled."""
-        question = QuarantineNews(digest=self._table.digest(), asks=True)
-        answer = self._exchange(other.address, question)
-        if answer is None:
+    def _sync_with(self, peer: PeerSidecar) -> bool:
+        """Exchange entries with a peer; return whether it responded and is settled."""
+        query = QuarantineNews(digest=self._table.digest(), asks=True)
+        query_response = self._exchange(peer.address, query)
+        if query_response is None:
             return False
-        self._merge(answer.entries)
-        if self._table.digest() != answer.digest:
-            entries = self._table.entries() + self._table.corrections(answer.entries)
+        self._merge(query_response.entries)
+        if self._table.digest() != query_response.digest:
+            entries = self._table.entries() + self._table.corrections(query_response.entries)
             update = QuarantineNews(digest=self._table.digest(), entries=entries)
-            corrected = self._exchange(other.address, update)
-            self._merge(corrected.entries if corrected is not None else [])
-        return answer.settled
+            update_response = self._exchange(peer.address, update)
+            self._merge(update_response.entries if update_response is not None else [])
+        return query_response.settled
--- a/src/cranklane/sidecar/quarantine/api.py
+++ b/src/cranklane/sidecar/quarantine/api.py
@@ -1,9 +1,9 @@
-"""The HTTP calls of operators on quarantined requests, at the port of a sidecar's metrics.
+"""HTTP API for operators to manage quarantined requests, on the sidecar's metrics port.
 
-``GET /v1/quarantine`` lists them. ``POST /v1/quarantine/lift`` clears one, by its ``identity``;
-``POST /v1/quarantine/hold`` quarantines one, by ``identity``, ``service`` and ``seconds``. Both
-need the operator's ``token`` in their JSON body, and count at every sidecar. On the wire a
-quarantined request is ``held``, and crashes are ``ends``.
+``GET /v1/quarantine`` lists the quarantined requests. ``POST /v1/quarantine/lift`` clears a request
+by ``identity``; ``POST /v1/quarantine/hold`` quarantines one by ``identity``, ``service`` and
+``seconds``. Both require the operator's ``token`` in the JSON body and take effect at all sidecars.
+The JSON fields ``held`` and ``ends`` are the quarantined requests and the number of crashes.
 """
 
 from __future__ import annotations
@@ -27,11 +27,12 @@
 
 
 class QuarantineApi:
-    """Answers operators.
+    """Handles operators' requests to the quarantine API.
 
-    :param table: what this sidecar knows of quarantined requests.
-    :param operator_digest: SHA-256 digest of the operator's token; empty: nobody may change.
-    :param other: answers all other calls.
+    :param table: quarantine table of this sidecar.
+    :param operator_digest: returns the SHA-256 digest of the operator's token; empty disables
+        changes.
+    :param fallback: handles requests for other paths.
     """
 
     def __init__(
@@ -39,26 +40,26 @@
         table: Quarantine,
         operator_digest: Callable[[], str],
         log: Any,
-        other: SmallHandler,
+        fallback: SmallHandler,
     ) -> None:
         self._table = table
         self._operator_digest = operator_digest
         self._log = log
-        self._other = other
+        self._fallback = fallback
 
     def handle(self, method: str, path: str, body: bytes) -> SmallAnswer:
-        """Answer one call."""
+        """Handle one HTTP request."""
         match method, path:
             case "GET", _ if path == QUARANTINE_PATH:
-                return _answer(HTTPStatus.OK, {"held": self._listed()})
+                return _answer(HTTPStatus.OK, {"held": self._list_entries()})
             case "POST", _ if path == _LIFT_PATH:
                 return self._change(body, self._lift)
             case "POST", _ if path == _HOLD_PATH:
                 return self._change(body, self._quarantine)
             case _:
-                return self._other(method, path, body)
+                return self._fallback(method, path, body)
 
-    def _listed(self) -> list[dict[str, Any]]:
+    def _list_entries(self) -> list[dict[str, Any]]:
         return [
             {
                 "identity": entry.identity.hex(),
@@ -72,26 +73,27 @@
     def _change(
         self, body: bytes, change: Callable[[Identity, dict[str, Any]], Result[None, str]]
     ) -> SmallAnswer:
-        """Check a call that changes something, make the change, and answer.
+        """Validate a request for a change and apply it.
 
-        :param change: takes the identity and the body; returns a problem of the body, if any.
+        :param change: applies the change for an identity and the body; returns a problem with the
+            body, if any.
         """
         value = _json_object(body)
         if value is None:
-            return _problem(HTTPStatus.BAD_REQUEST, "the body is no JSON object")
+            return _problem(HTTPStatus.BAD_REQUEST, "the body must be a JSON object")
         if not self._is_operator(value.get("token", "")):
             return _problem(
-                HTTPStatus.FORBIDDEN, "the token is not that of an operator of this sidecar"
+                HTTPStatus.FORBIDDEN, "token: does not match this sidecar's operator token"
             )
         identity = _identity(value.get("identity"))
         if identity is None:
             return _problem(
                 HTTPStatus.BAD_REQUEST,
-                f"identity: {2 * IDENTITY_BYTES} hexadecimal digits are needed",
+                f"identity: must be a string of {2 * IDENTITY_BYTES} hexadecimal digits",
             )
-        changed = change(identity, value)
-        if isinstance(changed, Err):
-            return _problem(HTTPStatus.BAD_REQUEST, changed.err_value)
+        outcome = change(identity, value)
+        if isinstance(outcome, Err):
+            return _problem(HTTPStatus.BAD_REQUEST, outcome.err_value)
         return _answer(HTTPStatus.OK, {})
 
     def _is_operator(self, token: Any) -> bool:
@@ -100,25 +102,25 @@
 
     def _lift(self, identity: Identity, _value: dict[str, Any]) -> Result[None, str]:
         if not self._table.lift(identity):
-            return Err("identity: no such request is held or suspected here")
+            return Err("identity: not quarantined or suspected at this sidecar")
         self._log.warning("hold_lifted", identity=identity.hex())
         return Ok(None)
 
     def _quarantine(self, identity: Identity, value: dict[str, Any]) -> Result[None, str]:
         service, seconds = value.get("service"), value.get("seconds")
         if not isinstance(service, str) or not service:
-            return Err("service: a name is needed")
+            return Err("service: must be a non-empty string")
         if isinstance(seconds, bool) or not isinstance(seconds, int | float):
-            return Err("seconds: a number is needed")
+            return Err("seconds: must be a number")
         if not 0 < seconds <= MAX_QUARANTINE_SECONDS:
-            return Err(f"seconds: a number up to {MAX_QUARANTINE_SECONDS:.0f} is needed")
+            return Err(f"seconds: must be above 0 and at most {MAX_QUARANTINE_SECONDS:.0f} s")
         self._table.quarantine(service, identity, float(seconds))
         self._log.warning("hold_added", identity=identity.hex(), service=service, seconds=seconds)
         return Ok(None)
 
 
 def _json_object(body: bytes) -> dict[str, Any] | None:
-    """Return the JSON object that a body holds, None for anything else."""
+    """Parse a body as a JSON object; return None if it is not one."""
     try:
         value = json.loads(body)
     except ValueError:
@@ -127,7 +129,7 @@
 
 
 def _identity(value: Any) -> Identity | None:
-    """Return the identity that hexadecimal digits name, None for anything else."""
+    """Parse a request identity from hexadecimal digits; return None if it is malformed."""
     if not isinstance(value, str):
         return None
     try:
--- a/src/cranklane/sidecar/quarantine/cleared_requests.py
+++ b/src/cranklane/sidecar/quarantine/cleared_requests.py
@@ -1,4 +1,4 @@
-"""Remembers which requests were cleared, so that older reports of them change nothing."""
+"""Records cleared requests, so that outdated quarantine reports are ignored."""
 
 from __future__ import annotations
 
@@ -6,22 +6,22 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from cranklane.sidecar.quarantine.rules import CLEARED_SECONDS
+from cranklane.sidecar.quarantine.rules import CLEARED_GRACE_SECONDS
 from cranklane.sidecar.request.identity import Identity
 
 MAX_CLEARED = 256
-"""Cleared requests that are remembered, the newest. A choice: as many as may be quarantined."""
+"""Number of newest clearings kept; equal to the maximum number of quarantined requests."""
 
 
 class _Clearing(NamedTuple):
-    """A clearing, and the ids of the crashes that were evidence against the request before it."""
+    """A clearing and the ids of the crashes that it invalidates as evidence."""
 
     crashes: frozenset[bytes]
-    at: float
+    cleared_at: float
 
 
 class ClearedRequests:
-    """The clearings of one sidecar, its own and those that others reported.
+    """The clearings known to one sidecar, local and reported by peers.
 
     :param clock: seconds.
     """
@@ -31,20 +31,20 @@
         self._clearings: OrderedDict[Identity, _Clearing] = OrderedDict()
 
     def add(self, identity: Identity, crashes: frozenset[bytes]) -> None:
-        """Remember a clearing, and forget the oldest ones of too many."""
-        former = self._clearings.pop(identity, None)
-        if former is not None:
-            crashes |= former.crashes
+        """Record a clearing; evict the oldest ones above :data:`MAX_CLEARED`."""
+        previous = self._clearings.pop(identity, None)
+        if previous is not None:
+            crashes |= previous.crashes
         self._clearings[identity] = _Clearing(crashes, self._clock())
         while len(self._clearings) > MAX_CLEARED:
             self._clearings.popitem(last=False)
 
     def crashes(self, identity: Identity) -> frozenset[bytes] | None:
-        """Return the crash ids that were known when a request was cleared; None: it was not."""
+        """Return the crash ids that a request's clearing covers; None if it was not cleared."""
         clearing = self._clearings.get(identity)
         return clearing.crashes if clearing is not None else None
 
     def is_recent(self, identity: Identity) -> bool:
-        """Return whether a request was cleared so shortly ago that a sender may not know."""
+        """Return whether a request was cleared within the grace period for delayed updates."""
         clearing = self._clearings.get(identity)
-        return clearing is not None and self._clock() - clearing.at <= CLEARED_SECONDS
+        return clearing is not None and self._clock() - clearing.cleared_at <= CLEARED_GRACE_SECONDS
--- a/src/cranklane/sidecar/quarantine/gossip.py
+++ b/src/cranklane/sidecar/quarantine/gossip.py
@@ -1,12 +1,9 @@
-"""Spreads what a sidecar knows of suspected and quarantined requests to the others.
+"""Disseminates quarantine updates among sidecars, without a controller.
 
-Updates go straight from sidecar to sidecar, so that they need no controller. The one at which
-something happens sends it to at most ``FAN_OUT`` others, each of which passes it on to its share of
-the rest: of 2,400 sidecars all have it after three steps, and none sends it more than ``FAN_OUT``
-times. Suspicions concern the sidecars of one service, whose gates isolate its requests; crashes
-that are evidence, and quarantines, concern all. ``anti_entropy`` repairs what was missed.
-
-Owns the table and the updates that wait to be sent.
+The origin of an update divides the peers into at most ``FAN_OUT`` shares and sends it to one peer
+of each, which forwards it within its share in the same way. Suspicions go only to the sidecars of
+the request's service, whose gates isolate it. Quarantines, evidence and their clearings go to all
+sidecars. ``anti_entropy`` repairs missed updates.
 """
 
 from __future__ import annotations
@@ -20,131 +17,138 @@
 from cranklane.records.messages import QuarantineEntry, QuarantineNews
 from cranklane.runtime.interface import Runtime
 from cranklane.sidecar.quarantine.anti_entropy import AntiEntropy, Exchange
-from cranklane.sidecar.quarantine.sidecar_directory import OtherSidecar, SidecarDirectory
+from cranklane.sidecar.quarantine.sidecar_directory import PeerSidecar, SidecarDirectory
 from cranklane.sidecar.quarantine.table import Quarantine
 
 FAN_OUT = 16
-"""Sidecars to which one sends an update. A choice: three steps reach 16 * 16 * 16 = 4,096."""
+"""Maximum number of peers to which a sidecar sends an update; three hops reach 4,096 sidecars."""
 
-GATHER_SECONDS = 0.005
-"""Time over which updates are gathered: the ends of many runs at once make one record. A choice:
-short against the time in which a sender retries."""
+BATCH_SECONDS = 0.005
+"""Delay for batching updates into one record; short relative to a sender's retry delay."""
 
-MAX_ENTRIES_IN_LINE = 20
-"""Requests named in one log line; their number is always logged. A choice."""
+MAX_LOGGED_ENTRIES = 20
+"""Maximum number of requests listed in a log line, which also has the total count."""
 
 
 class QuarantineGossip:
-    """Sends this sidecar's updates, and takes and passes on those of others.
+    """Sends local quarantine updates, and merges and forwards those of peers.
 
-    :param own: name of this machine's node.
-    :param service: returns the service of this machine's worker.
-    :param exchange: sends a record to another sidecar.
-    :ivar table: what this sidecar knows.
-    :ivar anti_entropy: compares it with that of others.
+    :param node_name: node name of this sidecar.
+    :param service: returns the service of the local worker.
+    :param exchange: sends a record to a peer.
+    :ivar table: quarantine table of this sidecar.
+    :ivar anti_entropy: synchronizes the table with those of peers.
     """
 
     def __init__(
         self,
         runtime: Runtime,
         directory: SidecarDirectory,
-        own: str,
+        node_name: str,
         service: Callable[[], str],
         exchange: Exchange,
         log: Any,
     ) -> None:
         self._runtime = runtime
         self._directory = directory
-        self._own = own
+        self._node_name = node_name
         self._service = service
         self._exchange = exchange
         self._log = log
-        self._waiting: list[QuarantineEntry] = []
-        self.table = Quarantine(runtime.monotonic, self._gather)
+        self._pending: list[QuarantineEntry] = []
+        self.table = Quarantine(runtime.monotonic, self._enqueue)
         self.anti_entropy = AntiEntropy(runtime, directory, self.table, exchange, self._merge)
 
-    # This sidecar's updates.
+    # Updates that originate here.
 
-    def _gather(self, entries: list[QuarantineEntry]) -> None:
-        """Take what happened here; send it, with what else happens, a moment later."""
+    def _enqueue(self, entries: list[QuarantineEntry]) -> None:
+        """Add entries to the current batch; schedule its transmission if it was empty."""
         self._log_entries(entries, "own")
-        if not self._waiting:
-            self._runtime.spawn(self._send_gathered)
-        self._waiting += entries
-
-    def _send_gathered(self) -> None:
-        gevent.sleep(GATHER_SECONDS)
-        entries, self._waiting = self._waiting, []
-        for_all = [entry for entry in entries if _concerns_all(entry)]
-        for_service = [entry for entry in entries if not _concerns_all(entry)]
-        if for_all:
-            self._send("", for_all, self._directory.of())
-        if for_service:
+        if not self._pending:
+            self._runtime.spawn(self._send_batch)
+        self._pending += entries
+
+    def _send_batch(self) -> None:
+        gevent.sleep(BATCH_SECONDS)
+        entries, self._pending = self._pending, []
+        fleet_entries = [entry for entry in entries if _is_fleet_wide(entry)]
+        service_entries = [entry for entry in entries if not _is_fleet_wide(entry)]
+        if fleet_entries:
+            self._send("", fleet_entries, self._directory.of())
+        if service_entries:
             service = self._service()
-            self._send(service, for_service, self._directory.of(service))
+            self._send(service, service_entries, self._directory.of(service))
 
-    def _send(
-        self, service: str, entries: list[QuarantineEntry], others: list[OtherSidecar]
-    ) -> None:
-        """Send entries to others: divided among ``FAN_OUT`` shares, each sent to its first."""
-        size = max(1, -(-len(others) // FAN_OUT))
-        for start in range(0, len(others), size):
-            share = others[start : start + size]
+    def _send(self, service: str, entries: list[QuarantineEntry], peers: list[PeerSidecar]) -> None:
+        """Send entries to peers, divided into at most ``FAN_OUT`` shares.
+
+        :param service: service whose sidecars are the recipients; empty for all sidecars.
+        """
+        share_size = max(1, -(-len(peers) // FAN_OUT))
+        for start in range(0, len(peers), share_size):
+            share = peers[start : start + share_size]
             self._runtime.spawn(self._send_to_share, service, entries, share)
 
     def _send_to_share(
-        self, service: str, entries: list[QuarantineEntry], share: list[OtherSidecar]
+        self, service: str, entries: list[QuarantineEntry], share: list[PeerSidecar]
     ) -> None:
-        """Send entries to the first of a share that answers; it passes them on to the rest."""
+        """Send entries to the first responsive peer of a share, which forwards them to the rest."""
         relay_to = share[-1].node
-        for other in share:
+        for peer in share:
             update = QuarantineNews(
                 digest=self.table.digest(), service=service, relay_to=relay_to, entries=entries
             )
-            if self._exchange(other.address, update) is not None:
+            if self._exchange(peer.address, update) is not None:
                 return
 
-    # Updates of other sidecars.
+    # Updates from peers.
 
     def received(self, update: QuarantineNews) -> QuarantineNews:
-        """Take another sidecar's update, pass it on, and return the answer."""
+        """Merge and forward a peer's update.
+
+        :returns: the response, with corrections for outdated entries of the peer; if it asks for
+            a comparison and the digests differ, also the entries of this table.
+        """
         self._merge(update.entries)
-        if update.relay_to > self._own:
-            others = [
-                other
-                for other in self._directory.of(update.service)
-                if self._own < other.node <= update.relay_to
+        if update.relay_to > self._node_name:
+            peers = [
+                peer
+                for peer in self._directory.of(update.service)
+                if self._node_name < peer.node <= update.relay_to
             ]
-            self._send(update.service, update.entries, others)
+            self._send(update.service, update.entries, peers)
         digest = self.table.digest()
         entries = self.table.entries() if update.asks and update.digest != digest else []
         entries = entries + self.table.corrections(update.entries)
         return QuarantineNews(digest=digest, settled=self.anti_entropy.settled, entries=entries)
 
     def _merge(self, entries: list[QuarantineEntry]) -> None:
-        """Take what another sidecar knows."""
-        unknown = self.table.merge(entries)
-        if unknown:
-            self._log_entries(unknown, "peer")
+        """Merge a peer's entries into the table; log the new ones."""
+        new_entries = self.table.merge(entries)
+        if new_entries:
+            self._log_entries(new_entries, "peer")
 
     def _log_entries(self, entries: list[QuarantineEntry], source: str) -> None:
-        for event, chosen in (
+        for event, matching in (
             ("requests_cleared", [entry for entry in entries if entry.cleared]),
-            ("requests_held", [e for e in entries if e.held_ms and not e.cleared]),
-            ("requests_suspected", [e for e in entries if not e.held_ms and not e.cleared]),
+            ("requests_held", [entry for entry in entries if entry.held_ms and not entry.cleared]),
+            (
+                "requests_suspected",
+                [entry for entry in entries if not entry.held_ms and not entry.cleared],
+            ),
         ):
-            if chosen:
+            if matching:
                 self._log.warning(
                     event,
                     source=source,
-                    count=len(chosen),
+                    count=len(matching),
                     requests=[
                         [entry.identity.hex(), entry.service, entry.held_ms / MILLISECONDS]
-                        for entry in chosen[:MAX_ENTRIES_IN_LINE]
+                        for entry in matching[:MAX_LOGGED_ENTRIES]
                     ],
                 )
 
 
-def _concerns_all(entry: QuarantineEntry) -> bool:
-    """Return whether sidecars of all services need an entry, not only those of its own."""
+def _is_fleet_wide(entry: QuarantineEntry) -> bool:
+    """Return whether an entry goes to the sidecars of all services."""
     return bool(entry.held_ms or entry.ends)
--- a/src/cranklane/sidecar/quarantine/rules.py
+++ b/src/cranklane/sidecar/quarantine/rules.py
@@ -1,8 +1,7 @@
-"""Rules of the quarantine, as functions of what is known of one request.
+"""Rules of the quarantine, as pure functions.
 
-They say what a crash means for the requests that ran, how long a request is refused, what is
-known of it at a moment, and what wins where two sidecars know different things. The table
-(``table``) keeps the knowledge and asks here. Times are seconds of one clock.
+They determine the requests blamed for a crash, the duration of a quarantine, the state of a request
+and the merging of reports from other sidecars. Times are seconds on the clock of the table.
 """
 
 from __future__ import annotations
@@ -12,49 +11,43 @@
 
 from cranklane.sidecar.request.identity import Identity
 
-NEVER = -math.inf
-"""Second until which a request is quarantined that never was."""
+NEVER_QUARANTINED = -math.inf
+"""Value of ``quarantined_until`` for a request that is only suspected."""
 
-# How long.
+# Durations.
 
 FIRST_QUARANTINE_SECONDS = 5.0
-"""Quarantine after the first crash that is evidence against a request alone. A choice: one such
-crash may be a chance, as when the worker's machine fails in that moment; the pause lets the
-workers that have crashed come back (some seconds) before the next one is risked, and costs an
-innocent request no more than that."""
+"""Quarantine after the first crash that is evidence. Short, because the crash may be coincidental;
+long enough for crashed workers to restart before the request runs again."""
 
 SECOND_QUARANTINE_SECONDS = 300.0
-"""Quarantine after the second such crash; it doubles with each further one. A choice: each
-probation of a guilty request costs a worker and all that runs there."""
+"""Quarantine after the second crash that is evidence; doubles with each further one, since a failed
+probation crashes a worker with all its runs."""
 
 MAX_QUARANTINE_SECONDS = 3600.0
-"""Longest quarantine. A choice: whoever mends the worker gets the request served within this time,
-or lifts the quarantine."""
+"""Upper bound of a quarantine, and thus of the delay until a repaired worker serves the request."""
 
 PROBATION_RUN_SECONDS = 10.0
-"""Other sidecars go on to refuse a request for this long while one runs it on probation. A choice:
-longer than nearly all runs."""
+"""Quarantine at the other sidecars during a probation run; longer than nearly all runs."""
 
 SUSPICION_SECONDS = 120.0
-"""A suspected request that is not seen again is forgotten after this long. A choice: later it is
-no more likely to be guilty than any other request, and a table that is empty costs nothing."""
+"""Time after which a suspicion expires unless it is renewed."""
 
-CLEARED_SECONDS = 1.0
-"""A request that was cleared is not suspected for this long by a sender that may not know it. A
-request that many send is cleared within milliseconds of a crash; without this, twelve more of
-2,000 such requests failed when two pairs of workers crashed 2 to 80 ms apart (simulation)."""
+CLEARED_GRACE_SECONDS = 1.0
+"""Time after a clearing during which a sender's retry raises no new suspicion: the sender may not
+have received the clearing yet."""
 
-SAME_QUARANTINE_SECONDS = 1.0
-"""Two times until which a request is quarantined that differ by less are the same, reported over
-paths of different length. A choice: far above the delays of a network, far below a quarantine."""
+QUARANTINE_END_TOLERANCE_SECONDS = 1.0
+"""Maximum difference between two reports of the same end of a quarantine; far above network delays
+and far below a quarantine."""
 
 
 class QuarantineState(Enum):
-    """What is known of a request.
+    """State of a request in the quarantine table.
 
-    :cvar SUSPECTED: it ran at a worker as that crashed.
-    :cvar QUARANTINED: it is refused everywhere.
-    :cvar ON_PROBATION: quarantined until now; one isolated run shows whether it still crashes
+    :cvar SUSPECTED: it was in flight when a worker crashed.
+    :cvar QUARANTINED: all sidecars refuse it.
+    :cvar ON_PROBATION: its quarantine has ended; an isolated run shows whether it still crashes
         workers.
     """
 
@@ -64,33 +57,35 @@
     ON_PROBATION = "on_probation"
 
 
-def state_at(now: float, seen_at: float, quarantined_until: float) -> QuarantineState:
-    """Return the state of a request that was suspected at some time.
+def state_at(now: float, suspected_at: float, quarantined_until: float) -> QuarantineState:
+    """Return the state of a request that has an entry in the table.
 
-    :param seen_at: when it was seen last.
-    :param quarantined_until: :data:`NEVER` for one that is only suspected.
+    :param suspected_at: time of the last suspicion.
+    :param quarantined_until: end of the quarantine; :data:`NEVER_QUARANTINED` if only suspected.
     """
     if quarantined_until > now:
         return QuarantineState.QUARANTINED
-    if quarantined_until > NEVER:
+    if quarantined_until > NEVER_QUARANTINED:
         return QuarantineState.ON_PROBATION
-    if now - seen_at > SUSPICION_SECONDS:
+    if now - suspected_at > SUSPICION_SECONDS:
         return QuarantineState.CLEAR
     return QuarantineState.SUSPECTED
 
 
-def is_forgotten(now: float, seen_at: float, quarantined_until: float) -> bool:
-    """Return whether nothing needs to be known of a request any more.
+def is_forgotten(now: float, suspected_at: float, quarantined_until: float) -> bool:
+    """Return whether the entry of a request has expired.
 
-    One that was quarantined is remembered for longer than one that was only suspected.
+    Entries of requests that were quarantined are kept for longer.
     """
-    was_quarantined = quarantined_until > NEVER
+    was_quarantined = quarantined_until > NEVER_QUARANTINED
     kept_seconds = MAX_QUARANTINE_SECONDS if was_quarantined else SUSPICION_SECONDS
-    return now - max(seen_at, quarantined_until) > kept_seconds
+    return now - max(suspected_at, quarantined_until) > kept_seconds
 
 
 def quarantine_seconds(crashes: int) -> float:
-    """Return how long a request is quarantined, by the crashes that are evidence against it.
+    """Return the duration of a quarantine in seconds.
+
+    :param crashes: number of crashes that are evidence against the request.
 
     >>> [quarantine_seconds(crashes) for crashes in (1, 2, 3, 9)]
     [5.0, 300.0, 600.0, 3600.0]
@@ -101,67 +96,73 @@
 
 
 def most_suspected(levels: dict[Identity, int]) -> list[Identity]:
-    """Return the requests against which a crash is evidence: those suspected most.
+    """Return the requests with the highest suspicion level, against which a crash is evidence.
 
-    A crash takes all runs along, and most of them are innocent. So it is evidence only against
-    those that were suspected before, and of these against those that were suspected most.
+    A crash interrupts all runs of the worker, and most are innocent. Requests that were not
+    suspected before are therefore never returned.
 
-    :param levels: the requests that ran, each with its suspicion level as it began; 0: none.
+    :param levels: the requests in flight with their suspicion levels at their start; 0 if none.
 
     >>> most_suspected({b"a": 0, b"b": 1, b"c": 2, b"d": 2}), most_suspected({b"a": 0})
     ([b'c', b'd'], [])
     """
-    top = max(levels.values(), default=0)
-    if top == 0:
+    highest_level = max(levels.values(), default=0)
+    if highest_level == 0:
         return []
-    return [identity for identity, level in levels.items() if level == top]
+    return [identity for identity, level in levels.items() if level == highest_level]
 
 
-# Whose knowledge wins.
+# Merging of reports from other sidecars.
 
 
 def merged_seconds(
-    reported_seconds: float, known: frozenset[bytes], reported: frozenset[bytes]
+    reported_seconds: float, local_crashes: frozenset[bytes], reported_crashes: frozenset[bytes]
 ) -> float:
-    """Return how long a request is quarantined from now on by another sidecar's report.
+    """Return the remaining quarantine in seconds after merging another sidecar's report.
 
-    Crashes that were seen at two places at once count together: neither sidecar knew of the
-    other's as it decided.
+    Crashes observed concurrently at two sidecars are added up, because neither sidecar counted the
+    other's when it set its quarantine.
 
-    :param reported_seconds: how much longer the other sidecar refuses it.
-    :param known: ids of the crashes that are known here as evidence.
-    :param reported: those that the other sidecar knows.
+    :param reported_seconds: remaining quarantine at the other sidecar.
+    :param local_crashes: ids of the crashes known here as evidence.
+    :param reported_crashes: ids of the crashes known to the other sidecar as evidence.
 
     >>> merged_seconds(5.0, frozenset({b"1", b"2"}), frozenset({b"1", b"3"}))
     600.0
     >>> merged_seconds(5.0, frozenset({b"1"}), frozenset({b"1", b"3"}))
     5.0
     """
-    seen_apart = bool(reported - known and known - reported)
-    if not seen_apart:
+    is_concurrent = bool(reported_crashes - local_crashes and local_crashes - reported_crashes)
+    if not is_concurrent:
         return reported_seconds
-    return max(reported_seconds, quarantine_seconds(len(known | reported)))
+    return max(reported_seconds, quarantine_seconds(len(local_crashes | reported_crashes)))
+
 
+def is_longer(reported_until: float, local_until: float) -> bool:
+    """Return whether a reported end of a quarantine is later than the local one.
 
-def is_longer(until: float, known_until: float) -> bool:
-    """Return whether a reported end of a quarantine is later than the known one, not the same."""
-    return until > known_until + SAME_QUARANTINE_SECONDS
+    Differences within the tolerance count as the same end.
+    """
+    return reported_until > local_until + QUARANTINE_END_TOLERANCE_SECONDS
 
 
-def is_outdated(held_ms: int, reported: frozenset[bytes], cleared: frozenset[bytes] | None) -> bool:
-    """Return whether a reported quarantine is older than a clearing of the request.
+def is_outdated(
+    held_ms: int, reported_crashes: frozenset[bytes], cleared_crashes: frozenset[bytes] | None
+) -> bool:
+    """Return whether a clearing of the request supersedes a reported quarantine.
 
-    :param held_ms: milliseconds that it still lasts; 0: only a suspicion, which is never outdated.
-    :param reported: ids of the crashes that the report knows as evidence.
-    :param cleared: ids of those that were known when it was cleared; None: it never was.
+    :param held_ms: remaining quarantine in milliseconds; 0 for a suspicion, which is never
+        outdated.
+    :param reported_crashes: ids of the crashes that the report has as evidence.
+    :param cleared_crashes: ids of the crashes that the clearing covers; None without a clearing.
 
     >>> one, two = frozenset({b"1"}), frozenset({b"1", b"2"})
     >>> is_outdated(9, one, two), is_outdated(9, two, one), is_outdated(0, one, two)
     (True, False, False)
     """
-    return held_ms > 0 and cleared is not None and reported <= cleared
+    return held_ms > 0 and cleared_crashes is not None and reported_crashes <= cleared_crashes
 
 
-def is_cleared(known: frozenset[bytes], cleared: frozenset[bytes]) -> bool:
-    """Return whether a reported clearing covers all evidence that is known here."""
-    return known <= cleared
+def is_cleared(local_crashes: frozenset[bytes], cleared_crashes: frozenset[bytes]) -> bool:
+    """Return whether a reported clearing covers all local evidence."""
+    return local_crashes <= cleared_crashes
--- a/src/cranklane/sidecar/quarantine/sidecar_directory.py
+++ b/src/cranklane/sidecar/quarantine/sidecar_directory.py
@@ -1,8 +1,7 @@
-"""Where the other sidecars are, also those whose workers are down.
+"""Directory of the peer sidecars, for quarantine updates.
 
-Requests go only to sidecars whose workers run. Updates of the quarantine concern the others too:
-callers send requests through them, and their workers come back. Owns that list, by node; relies on
-control for who is a member.
+Unlike request routing, it includes sidecars whose workers are down: they still accept requests
+from callers, and their workers will restart. Control provides the membership.
 """
 
 from __future__ import annotations
@@ -14,61 +13,60 @@
 from cranklane.records.messages import Member, MemberDelta
 from cranklane.runtime.interface import Address, parse_address
 
-KEPT_SECONDS = 30.0
-"""A sidecar whose worker is down, or whose heartbeats control has lost, is kept for this long. A
-choice: a worker that crashed is back within some seconds, and a wrong address costs one try."""
+ABSENT_RETENTION_SECONDS = 30.0
+"""Time for which absent sidecars are kept; longer than a worker takes to restart."""
 
 
 @dataclass(slots=True)
-class OtherSidecar:
-    """One sidecar.
+class PeerSidecar:
+    """A peer sidecar.
 
-    :ivar away_since: monotonic second since which its worker is down or control has lost its
-        heartbeats; None: it is there.
+    :ivar absent_since: monotonic time in seconds since which its worker is down or its heartbeats
+        to control are missing; None if it is present.
     """
 
     node: str
     service: str
     address: Address
-    away_since: float | None = None
+    absent_since: float | None = None
 
 
 class SidecarDirectory:
-    """The other sidecars, as control reports them.
+    """The peer sidecars by node, as reported by control.
 
     :param clock: monotonic seconds.
-    :param own: name of this machine's node.
+    :param node_name: node name of this sidecar, which is excluded.
     """
 
-    def __init__(self, clock: Callable[[], float], own: str) -> None:
+    def __init__(self, clock: Callable[[], float], node_name: str) -> None:
         self._clock = clock
-        self._own = own
-        self._by_node: dict[str, OtherSidecar] = {}
+        self._node_name = node_name
+        self._by_node: dict[str, PeerSidecar] = {}
 
     def apply(self, delta: MemberDelta) -> None:
-        """Take an update of members from control."""
+        """Apply a membership update from control, and remove peers absent for too long."""
         now = self._clock()
         if delta.whole:
             named = {member.node for member in delta.members}
-            for other in self._by_node.values():
-                if other.node not in named and other.away_since is None:
-                    other.away_since = now
+            for peer in self._by_node.values():
+                if peer.node not in named and peer.absent_since is None:
+                    peer.absent_since = now
         for member in delta.members:
-            if member.node != self._own and member.service:
+            if member.node != self._node_name and member.service:
                 self._apply(member, now)
-        for other in list(self._by_node.values()):
-            if other.away_since is not None and now - other.away_since > KEPT_SECONDS:
-                del self._by_node[other.node]
+        for peer in list(self._by_node.values()):
+            if peer.absent_since is not None and now - peer.absent_since > ABSENT_RETENTION_SECONDS:
+                del self._by_node[peer.node]
 
     def _apply(self, member: Member, now: float) -> None:
-        known = self._by_node.get(member.node)
+        peer = self._by_node.get(member.node)
         if MemberState(member.state).is_there:
             address = parse_address(member.address)
-            self._by_node[member.node] = OtherSidecar(member.node, member.service, address)
-        elif known is not None and known.away_since is None:
-            known.away_since = now
-
-    def of(self, service: str = "") -> list[OtherSidecar]:
-        """Return the sidecars of a service, or all, in the order of their names."""
-        found = [item for item in self._by_node.values() if service in ("", item.service)]
-        return sorted(found, key=lambda item: item.node)
+            self._by_node[member.node] = PeerSidecar(member.node, member.service, address)
+        elif peer is not None and peer.absent_since is None:
+            peer.absent_since = now
+
+    def of(self, service: str = "") -> list[PeerSidecar]:
+        """Return the peers of a service, or all peers, sorted by node name."""
+        peers = [entry for entry in self._by_node.values() if service in ("", entry.service)]
+        return sorted(peers, key=lambda entry: entry.node)
--- a/src/cranklane/sidecar/quarantine/table.py
+++ b/src/cranklane/sidecar/quarantine/table.py
@@ -1,15 +1,15 @@
-"""Requests that are suspected of crashing the workers that run them, at one sidecar.
-
-A worker that crashes takes all its runs along, and most of them are innocent. So the first crash
-makes all of them suspected, which costs them nothing: a suspected request may be sent to a second
-worker at once. When that one crashes too, its crash is evidence against those that were suspected
-most as they began there; each such crash raises a request's suspicion level. Where it is one
-alone, it is quarantined: refused everywhere, at first for a few seconds. Where there are several,
-each is from then on run in isolation, so that the next crash tells which one it is; that one is
-quarantined for long. A suspected request that a worker answers is cleared, also on probation.
-
-Owns what this sidecar knows of such requests. The rules are in ``rules``; other sidecars' knowledge
-comes through ``gossip``. The table is empty on a calm day, and then nobody computes an identity.
+"""Table of the requests that this sidecar suspects of crashing workers.
+
+A crash interrupts all runs of a worker, and most of their requests are innocent. The first crash
+therefore only marks all of them as suspected; their immediate retries still run normally. If the
+second worker crashes too, its crash is evidence against the requests with the highest suspicion
+level at their start. A single such request is quarantined: all sidecars refuse it. Several such
+requests run in isolation, so that the next crash identifies the cause. The first quarantine is
+short and later ones are long. A response from a worker clears a suspected request, also on
+probation.
+
+``rules`` has the decisions; ``gossip`` exchanges entries with other sidecars. While the table is
+empty, no request identities are computed.
 """
 
 from __future__ import annotations
@@ -34,19 +34,18 @@
 from cranklane.sidecar.request.identity import Identity
 
 MAX_SUSPECTED = 1024
-"""Suspected requests kept, the newest. A choice: the runs of some tens of workers."""
+"""Maximum number of suspected requests; the oldest are evicted."""
 
 MAX_QUARANTINED = 256
-"""Requests quarantined at a time. Of more, the one whose quarantine ends first is let go, so that
-a flood of ever new ones cannot fill the memory. A choice."""
+"""Maximum number of quarantined requests, to bound memory; the earliest to expire is evicted."""
 
 
 class Quarantine:
-    """What one sidecar knows of suspected and quarantined requests.
+    """Suspected and quarantined requests at one sidecar.
 
-    :param clock: seconds that have passed, those of a suspension included.
-    :param on_update: given the entries that other sidecars should know.
-    :ivar filled: set while there may be entries.
+    :param clock: seconds, including time in suspension.
+    :param on_update: receives the entries to report to other sidecars.
+    :ivar has_entries: set while the table may have entries.
     """
 
     def __init__(
@@ -54,10 +53,10 @@
     ) -> None:
         self._clock = clock
         self._on_update = on_update
-        # In the order in which they were seen last.
+        # Ordered by the time of the last suspicion, oldest first.
         self._entries: OrderedDict[Identity, QuarantinedRequest] = OrderedDict()
         self._cleared = ClearedRequests(clock)
-        self.filled = Event()
+        self.has_entries = Event()
 
     @property
     def is_empty(self) -> bool:
@@ -65,22 +64,22 @@
         return not self._entries
 
     def state(self, identity: Identity) -> QuarantineState:
-        """Return what is known of a request."""
+        """Return the state of a request; drop its entry if it has expired."""
         entry = self._entries.get(identity)
         if entry is None:
             return QuarantineState.CLEAR
-        state = rules.state_at(self._clock(), entry.seen_at, entry.quarantined_until)
+        state = rules.state_at(self._clock(), entry.suspected_at, entry.quarantined_until)
         if state is QuarantineState.CLEAR:
             del self._entries[identity]
         return state
 
     def suspicion_level(self, identity: Identity) -> int:
-        """Return how strongly a request is suspected; 0 for one that is not."""
+        """Return the suspicion level of a request; 0 if it is not suspected."""
         entry = self._entries.get(identity)
         return entry.suspicion_level if entry is not None else 0
 
     def seconds_left(self, identity: Identity) -> float:
-        """Return how many seconds longer a request is quarantined; 0 for one that is not."""
+        """Return the remaining quarantine of a request in seconds; 0 if not quarantined."""
         entry = self._entries.get(identity)
         return max(0.0, entry.quarantined_until - self._clock()) if entry is not None else 0.0
 
@@ -89,24 +88,24 @@
         return [entry for entry in self._entries.values() if entry.was_quarantined]
 
     def forget_old(self) -> None:
-        """Drop the requests that were not seen, and not quarantined, for long."""
+        """Remove expired entries."""
         now = self._clock()
         for entry in list(self._entries.values()):
-            if rules.is_forgotten(now, entry.seen_at, entry.quarantined_until):
+            if rules.is_forgotten(now, entry.suspected_at, entry.quarantined_until):
                 del self._entries[entry.identity]
         if not self._entries:
-            self.filled.clear()
+            self.has_entries.clear()
 
-    # What happens at this sidecar's worker.
+    # Events at the local worker.
 
     def worker_crashed(self, service: str, crash: bytes, runs: dict[Identity, int]) -> None:
-        """Count a crash of the worker against the requests that ran.
+        """Record a worker crash against the requests in flight.
 
         :param crash: id of the crash.
-        :param runs: the requests that ran, each with its suspicion level as it began: what became
-            known later says nothing, as several workers may crash at one moment.
+        :param runs: the requests in flight with their suspicion levels at their start. Later
+            levels would turn simultaneous crashes of several workers into evidence.
         """
-        # One that was cleared meanwhile begins anew.
+        # A request cleared since its start has no suspicion level any more.
         levels = {
             identity: min(level, self.suspicion_level(identity)) for identity, level in runs.items()
         }
@@ -118,39 +117,42 @@
             entry.crashes |= {crash}
             if len(blamed) == 1:
                 entry.extend(self._clock() + rules.quarantine_seconds(len(entry.crashes)))
-        self._drop_surplus()
+        self._evict_excess()
         self._report(list(runs))
 
     def suspect(self, service: str, identity: Identity) -> None:
-        """Take that a request ran at a worker as that crashed."""
+        """Mark a request as suspected, or renew its suspicion."""
         entry = self._entries.get(identity)
         if entry is None:
             self._entries[identity] = QuarantinedRequest(identity, service, self._clock())
-            self.filled.set()
-            self._drop_surplus()
+            self.has_entries.set()
+            self._evict_excess()
         else:
-            entry.seen_at = self._clock()
+            entry.suspected_at = self._clock()
             self._entries.move_to_end(identity)
 
     def retried(self, service: str, identity: Identity) -> None:
-        """Take that a sender retries a request whose worker crashed; a report may follow."""
+        """Suspect a request that its sender retries after a crash, unless it was just cleared.
+
+        The retry may arrive before the report of the crash.
+        """
         if not self._cleared.is_recent(identity):
             self.suspect(service, identity)
 
     def probation_run_begins(self, identity: Identity) -> None:
-        """Have the other sidecars refuse a request while it is run on probation here."""
+        """Quarantine a request at the other sidecars during its probation run here."""
         self._entries[identity].quarantined_until = self._clock() + rules.PROBATION_RUN_SECONDS
         self._report([identity])
 
     def answered(self, identity: Identity) -> None:
-        """Clear a request that a worker has run to its end."""
+        """Clear a request whose run completed."""
         if identity in self._entries:
             self.lift(identity)
 
-    # What operators do.
+    # Changes by operators.
 
     def lift(self, identity: Identity) -> bool:
-        """Clear a request, here and everywhere; return whether it was known."""
+        """Clear a request at all sidecars; return whether it had an entry here."""
         entry = self._entries.pop(identity, None)
         if entry is None:
             return False
@@ -159,24 +161,27 @@
         return True
 
     def quarantine(self, service: str, identity: Identity, seconds: float) -> None:
-        """Quarantine a request for some seconds, here and everywhere."""
+        """Quarantine a request at all sidecars for a number of seconds."""
         self.suspect(service, identity)
         entry = self._entries[identity]
-        # Has an id like a crash, so that it counts after an earlier clearing too.
+        # A new crash id keeps an earlier clearing from superseding this quarantine.
         entry.crashes |= {crash_id(f"operator at {self._clock()}")}
         entry.extend(self._clock() + seconds)
-        self._drop_surplus()
+        self._evict_excess()
         self._report([identity])
 
-    # What other sidecars report.
+    # Reports from other sidecars.
 
     def learn(self, service: str, identity: Identity, seconds: float) -> None:
-        """Take that a gate has refused a request that is quarantined for some seconds more."""
+        """Record a quarantine from a gate's refusal.
+
+        :param seconds: remaining time of the quarantine.
+        """
         held_ms = int(seconds * MILLISECONDS) + 1
         self.merge([QuarantineEntry(held_ms, False, service, b"", identity)])
 
     def merge(self, reports: Iterable[QuarantineEntry]) -> list[QuarantineEntry]:
-        """Take what another sidecar knows; return what of it was not known here."""
+        """Merge the entries of another sidecar; return those that changed the table."""
         return [report for report in reports if self._merge(report)]
 
     def _merge(self, report: QuarantineEntry) -> bool:
@@ -191,23 +196,23 @@
         seconds = rules.merged_seconds(report.held_ms / MILLISECONDS, entry.crashes, crashes)
         has_new_crash = not crashes <= entry.crashes
         entry.crashes |= crashes
-        until = self._clock() + seconds
-        is_longer = seconds > 0 and rules.is_longer(until, entry.quarantined_until)
+        reported_until = self._clock() + seconds
+        is_longer = seconds > 0 and rules.is_longer(reported_until, entry.quarantined_until)
         if is_longer:
-            entry.quarantined_until = until
-        self._drop_surplus()
+            entry.quarantined_until = reported_until
+        self._evict_excess()
         return is_new or has_new_crash or is_longer
 
     def _merge_clearing(self, identity: Identity, crashes: frozenset[bytes]) -> bool:
         self._cleared.add(identity, crashes)
-        known = self._entries.get(identity)
-        if known is None or not rules.is_cleared(known.crashes, crashes):
+        entry = self._entries.get(identity)
+        if entry is None or not rules.is_cleared(entry.crashes, crashes):
             return False
         del self._entries[identity]
         return True
 
     def corrections(self, reports: Iterable[QuarantineEntry]) -> list[QuarantineEntry]:
-        """Return what a sidecar should know that still refuses what was cleared."""
+        """Return clearings for reported quarantines that were cleared here."""
         return [
             QuarantineEntry(0, True, report.service, report.ends, report.identity)
             for report in reports
@@ -219,35 +224,37 @@
         ]
 
     def entries(self) -> list[QuarantineEntry]:
-        """Return what another sidecar should know of quarantined requests."""
+        """Return the records of the requests that are quarantined or on probation."""
         now = self._clock()
         return [to_record(entry, now) for entry in self.quarantined()]
 
     def digest(self) -> int:
-        """Return a number that is the same where the same requests are quarantined.
+        """Return a digest of the quarantined requests, for comparison between sidecars.
 
-        It does not depend on when quarantines end, as clocks and delays differ.
+        It excludes the ends of quarantines, because clocks and delays differ.
         """
         value = 0
         for entry in self.quarantined():
             value ^= int.from_bytes(entry.identity[:8]) + len(entry.crashes)
         return value % 2**64
 
-    # Bookkeeping.
+    # Updates and eviction.
 
     def _report(self, identities: list[Identity]) -> None:
-        """Let the other sidecars know what is known of some requests."""
+        """Report the entries of some requests to the other sidecars."""
         now = self._clock()
-        known = [self._entries[identity] for identity in identities if identity in self._entries]
-        if known:
-            self._on_update([to_record(entry, now) for entry in known])
+        reported_entries = [
+            self._entries[identity] for identity in identities if identity in self._entries
+        ]
+        if reported_entries:
+            self._on_update([to_record(entry, now) for entry in reported_entries])
 
-    def _drop_surplus(self) -> None:
-        """Keep the table within its bounds."""
+    def _evict_excess(self) -> None:
+        """Evict entries beyond the maximum numbers."""
         quarantined = self.quarantined()
         if len(quarantined) > MAX_QUARANTINED:
-            ends_first = min(quarantined, key=lambda entry: entry.quarantined_until)
-            del self._entries[ends_first.identity]
+            earliest_expiring = min(quarantined, key=lambda entry: entry.quarantined_until)
+            del self._entries[earliest_expiring.identity]
         while len(self._entries) > MAX_QUARANTINED + MAX_SUSPECTED:
             oldest = next(entry for entry in self._entries.values() if not entry.was_quarantined)
             del self._entries[oldest.identity]
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -11,7 +11,10 @@
 from cranklane.sidecar.quarantine import rules
 from cranklane.sidecar.quarantine.anti_entropy import AntiEntropy
 from cranklane.sidecar.quarantine.gossip import QuarantineGossip
-from cranklane.sidecar.quarantine.sidecar_directory import KEPT_SECONDS, SidecarDirectory
+from cranklane.sidecar.quarantine.sidecar_directory import (
+    ABSENT_RETENTION_SECONDS,
+    SidecarDirectory,
+)
 from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane_lab.simulation.crashes import CrashingRequests
 from mesh_support import play
@@ -30,7 +33,7 @@
 
 def test_without_news_of_others_it_ends_more(monkeypatch):
     monkeypatch.setattr(QuarantineGossip, "_send", lambda *_: None)
-    monkeypatch.setattr(AntiEntropy, "_learn", lambda _self: True)
+    monkeypatch.setattr(AntiEntropy, "_sync_with_peers", lambda _self: True)
     assert play(ends_of_one, **FLEET) > 3
 
 
@@ -132,7 +135,7 @@
     assert names(directory, "s") == ["a", "b"]
     directory.apply(MemberDelta(False, [member("a", state=2)]))
     assert names(directory, "s") == ["a", "b"]
-    directory.now[0] += KEPT_SECONDS + 1
+    directory.now[0] += ABSENT_RETENTION_SECONDS + 1
     directory.apply(MemberDelta(False, []))
     assert names(directory, "s") == ["b"]
 
@@ -141,6 +144,6 @@
     directory.apply(MemberDelta(True, [member("a"), member("b")]))
     directory.apply(MemberDelta(True, [member("a")]))
     assert names(directory) == ["a", "b"]
-    directory.now[0] += KEPT_SECONDS + 1
+    directory.now[0] += ABSENT_RETENTION_SECONDS + 1
     directory.apply(MemberDelta(False, []))
     assert names(directory) == ["a"]
--- a/tests/test_quarantine_rules.py
+++ b/tests/test_quarantine_rules.py
@@ -3,40 +3,40 @@
 import pytest
 
 from cranklane.sidecar.quarantine import rules
-from cranklane.sidecar.quarantine.rules import NEVER, QuarantineState
+from cranklane.sidecar.quarantine.rules import NEVER_QUARANTINED, QuarantineState
 
 NOW = 1000.0
 
 
 @pytest.mark.parametrize(
-    ("seen_at", "quarantined_until", "state"),
+    ("suspected_at", "quarantined_until", "state"),
     [
-        (NOW, NEVER, QuarantineState.SUSPECTED),
-        (NOW - 120.0, NEVER, QuarantineState.SUSPECTED),
-        (NOW - 120.1, NEVER, QuarantineState.CLEAR),
+        (NOW, NEVER_QUARANTINED, QuarantineState.SUSPECTED),
+        (NOW - 120.0, NEVER_QUARANTINED, QuarantineState.SUSPECTED),
+        (NOW - 120.1, NEVER_QUARANTINED, QuarantineState.CLEAR),
         (NOW, NOW + 0.1, QuarantineState.QUARANTINED),
         (NOW - 3600.0, NOW + 0.1, QuarantineState.QUARANTINED),
         (NOW, NOW, QuarantineState.ON_PROBATION),
         (NOW - 3600.0, NOW - 3600.0, QuarantineState.ON_PROBATION),
     ],
 )
-def test_the_state_of_a_request(seen_at, quarantined_until, state):
-    assert rules.state_at(NOW, seen_at, quarantined_until) is state
+def test_the_state_of_a_request(suspected_at, quarantined_until, state):
+    assert rules.state_at(NOW, suspected_at, quarantined_until) is state
 
 
 @pytest.mark.parametrize(
-    ("seen_at", "quarantined_until", "forgotten"),
+    ("suspected_at", "quarantined_until", "forgotten"),
     [
-        (NOW - 120.0, NEVER, False),
-        (NOW - 121.0, NEVER, True),
+        (NOW - 120.0, NEVER_QUARANTINED, False),
+        (NOW - 121.0, NEVER_QUARANTINED, True),
         (NOW - 4000.0, NOW - 3600.0, False),
         (NOW - 4000.0, NOW - 3601.0, True),
         (NOW - 10.0, NOW - 3601.0, False),
         (NOW - 4000.0, NOW + 1.0, False),
     ],
 )
-def test_when_a_request_is_forgotten(seen_at, quarantined_until, forgotten):
-    assert rules.is_forgotten(NOW, seen_at, quarantined_until) is forgotten
+def test_when_a_request_is_forgotten(suspected_at, quarantined_until, forgotten):
+    assert rules.is_forgotten(NOW, suspected_at, quarantined_until) is forgotten
 
 
 @pytest.mark.parametrize(
@@ -84,11 +84,16 @@
 
 
 @pytest.mark.parametrize(
-    ("until", "known_until", "longer"),
-    [(NOW, NEVER, True), (NOW, NOW, False), (NOW + 1.0, NOW, False), (NOW + 1.1, NOW, True)],
+    ("reported_until", "local_until", "longer"),
+    [
+        (NOW, NEVER_QUARANTINED, True),
+        (NOW, NOW, False),
+        (NOW + 1.0, NOW, False),
+        (NOW + 1.1, NOW, True),
+    ],
 )
-def test_a_reported_quarantine_counts_only_where_it_is_longer(until, known_until, longer):
-    assert rules.is_longer(until, known_until) is longer
+def test_a_reported_quarantine_counts_only_where_it_is_longer(reported_until, local_until, longer):
+    assert rules.is_longer(reported_until, local_until) is longer
 
 
 @pytest.mark.parametrize(
