--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -1,20 +1,6 @@
-"""Requests that end each worker that runs them.
+"""Guards against a request that crashes every worker of a service through retries and resends.
 
-What happened: on a fleet of 17 machines the reads of one service were refused or failed for
-about six seconds, several times in a day. One request ended every worker of the service, each
-again as soon as it was back: 19 and 23 ends in all.
-
-Sequence: the request comes in at some machine; a worker begins to run it and ends 30 to 100 ms
-later, with everything that runs beside it; the machine sends it to a second worker at once, which
-ends too; the caller gets 502 after 0.12 s, and asks again at another machine, which knows nothing.
-
-Cause: an ended worker was an outcome of unknown kind that counted against the worker alone.
-Nothing remembered a request beyond its own try, and no machine told another.
-
-What settled it: two ``attempt`` lines with reason ``worker_failed`` for one request within 0.1 s,
-at two workers, again and again; the first of ten workers ended with 6 requests under way for 44
-slots, so it was no overload; and, in the run below, 20 ``worker_ended`` lines with one identity
-in common.
+Sidecars must share what they know of it, without affecting other requests.
 """
 
 from __future__ import annotations
@@ -33,18 +19,18 @@
 
 
 class Callers:
-    """Callers of one service at all machines, as long as ``seconds``."""
+    """Sends distinct requests to a service through all machines for ``seconds``."""
 
     def __init__(self, mesh, seconds=SECONDS, prefix="/read/"):
         self.mesh = mesh
         self.statuses = []
-        self._until = mesh.world.loop.now() + seconds
+        self._stop_at = mesh.world.loop.now() + seconds
         self._prefix = prefix
-        self._task = gevent.spawn(self._call_on)
+        self._task = gevent.spawn(self._call_repeatedly)
 
-    def _call_on(self):
+    def _call_repeatedly(self):
         number = 0
-        while self.mesh.world.loop.now() < self._until:
+        while self.mesh.world.loop.now() < self._stop_at:
             number += 1
             machine = self.mesh.machines[number % len(self.mesh.machines)]
             gevent.spawn(self._call, machine, f"{self._prefix}{number}")
@@ -55,14 +41,14 @@
         self.statuses.append(answer.status if answer is not None else 0)
 
     def join(self):
-        """Wait for the last answer; return the part that was served."""
+        """Wait for the last response; return the fraction of requests that were served."""
         self._task.join()
         gevent.sleep(5.0)
         return sum(status == 200 for status in self.statuses) / len(self.statuses)
 
 
-def repeat(mesh, path=CRASH, times=20, pause=0.5):
-    """Send the same request at one machine after the other; return the statuses."""
+def send_repeatedly(mesh, path=CRASH, times=20, pause=0.5):
+    """Send the same request through one machine after another; return the statuses."""
     statuses = []
     for number in range(times):
         machine = mesh.machines[number % len(mesh.machines)]
@@ -72,37 +58,40 @@
     return statuses
 
 
-def test_the_third_worker_that_a_request_ends_is_the_last_and_others_are_served():
+def test_a_request_crashes_at_most_three_workers():
     def script(mesh):
         crashing = CrashingRequests(mesh)
         callers = Callers(mesh)
-        repeat(mesh)
+        send_repeatedly(mesh)
         served = callers.join()
         return len(crashing.ends_under(b"/crash")), served
 
-    ended, served = play(script, **FLEET)
-    assert ended <= 3
+    crash_count, served = play(script, **FLEET)
+    assert crash_count <= 3
     assert served > 0.95
 
 
 def has_quarantined(machine):
-    """Return whether a sidecar has quarantined a request."""
+    """Return whether a machine's sidecar has quarantined a request."""
     return bool(machine.sidecar.quarantine.table.quarantined())
 
 
-def until_quarantined(mesh, machines, since, seconds=2.0):
-    """Return the seconds from a moment on until all of some sidecars have quarantined a request."""
+def seconds_until_quarantined(mesh, machines, since, seconds=2.0):
+    """Wait until all given sidecars have quarantined a request; return the seconds since ``since``.
+
+    :param seconds: upper bound on the wait; exceeding it fails the test.
+    """
     while not all(has_quarantined(machine) for machine in machines):
         assert mesh.world.loop.now() - since < seconds
         gevent.sleep(0.0005)
     return mesh.world.loop.now() - since
 
 
-def second_end(mesh, crashing, seconds=5.0):
-    """Send the request, again where it is not repeated; return when it ends a second worker."""
-    until = mesh.world.loop.now() + seconds
+def second_crash_time(mesh, crashing, seconds=5.0):
+    """Send a crashing request, repeatedly if needed; return the time of its second crash."""
+    deadline = mesh.world.loop.now() + seconds
     while len(crashing.crashes) < 2:
-        assert mesh.world.loop.now() < until
+        assert mesh.world.loop.now() < deadline
         if not crashing.crashes or mesh.world.loop.now() > crashing.crashes[0].at + 0.5:
             gevent.spawn(mesh.request, mesh.machines[-1], CRASH)
             gevent.sleep(0.06)
@@ -110,61 +99,61 @@
     return crashing.crashes[1].at
 
 
-def cut_control(mesh):
+def partition_control(mesh):
     for controller in mesh.controllers:
         for machine in mesh.machines:
             mesh.world.network.cut(machine.process.name, controller.process.name)
             mesh.world.network.cut(controller.process.name, machine.process.name)
 
 
-@pytest.mark.parametrize("others", [2, 65])
-def test_all_sidecars_know_within_tens_of_milliseconds(others):
+@pytest.mark.parametrize("other_workers", [2, 65])
+def test_all_sidecars_quarantine_within_30_ms(other_workers):
     def script(mesh):
         crashing = CrashingRequests(mesh)
-        return until_quarantined(mesh, mesh.machines, second_end(mesh, crashing))
+        return seconds_until_quarantined(mesh, mesh.machines, second_crash_time(mesh, crashing))
 
-    assert play(script, services=("s",) * 5 + ("t",) * others, slots=16) < 0.03
+    assert play(script, services=("s",) * 5 + ("t",) * other_workers, slots=16) < 0.03
 
 
-def lose_leader(mesh):
+def kill_leader(mesh):
     mesh.leader().process.kill(power_lost=True)
 
 
-@pytest.mark.parametrize("trouble", [cut_control, lose_leader])
-def test_the_third_end_is_the_last_while_control_is_in_trouble(trouble):
+@pytest.mark.parametrize("disrupt", [partition_control, kill_leader])
+def test_at_most_three_crashes_while_control_is_disrupted(disrupt):
     def script(mesh):
         crashing = CrashingRequests(mesh)
-        trouble(mesh)
+        disrupt(mesh)
         gevent.sleep(2.0)
         callers = Callers(mesh, 10.0)
-        repeat(mesh)
+        send_repeatedly(mesh)
         return len(crashing.crashes), callers.join()
 
-    ended, served = play(script, **FLEET)
-    assert ended <= 3
+    crash_count, served = play(script, **FLEET)
+    assert crash_count <= 3
     assert served > 0.95
 
 
-def test_a_sidecar_that_was_paused_or_cut_off_learns_of_it_soon_after():
+def test_paused_or_partitioned_sidecar_catches_up():
     def script(mesh):
         crashing = CrashingRequests(mesh)
-        away = mesh.machines[6]
+        partitioned = mesh.machines[6]
         for machine in mesh.machines[:6]:
-            mesh.world.network.cut(machine.process.name, away.process.name)
-            mesh.world.network.cut(away.process.name, machine.process.name)
+            mesh.world.network.cut(machine.process.name, partitioned.process.name)
+            mesh.world.network.cut(partitioned.process.name, machine.process.name)
         paused = mesh.machines[5]
         paused.process.freeze(4.0)
         mesh.request(mesh.machines[0], CRASH)
         assert mesh.wait_for(lambda: len(crashing.crashes) == 2, 2.0)
         gevent.sleep(4.0)
-        assert not has_quarantined(away)
+        assert not has_quarantined(partitioned)
         mesh.world.network.heal_all()
-        return until_quarantined(mesh, [away, paused], mesh.world.loop.now(), 10.0)
+        return seconds_until_quarantined(mesh, [partitioned, paused], mesh.world.loop.now(), 10.0)
 
     assert play(script, **FLEET) < 5.0
 
 
-def test_a_sidecar_that_was_restarted_knows_before_its_first_request():
+def test_restarted_sidecar_catches_up_before_its_first_request():
     def script(mesh):
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
@@ -181,7 +170,7 @@
     assert play(script, **FLEET) == (503, True, 2)
 
 
-def test_a_restarted_sidecar_learns_though_its_controller_knows_nobody_yet():
+def test_sidecar_catches_up_after_a_controller_restart():
     def script(mesh):
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
@@ -204,7 +193,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_sidecars_restarted_together_do_not_rely_on_each_other(seed):
+def test_sidecars_restarted_together_catch_up(seed):
     def script(mesh):
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
@@ -223,37 +212,38 @@
     assert play(script, seed=seed, **FLEET) == [True] * 7
 
 
-def test_several_such_requests_at_once_end_three_workers_each_at_most():
+def test_concurrent_requests_crash_at_most_three_workers_each():
     def script(mesh):
         crashing = CrashingRequests(mesh)
         callers = Callers(mesh)
         tasks = [
-            gevent.spawn(repeat, mesh, f"/read/crash/{number}", 12, 0.9) for number in range(4)
+            gevent.spawn(send_repeatedly, mesh, f"/read/crash/{number}", 12, 0.9)
+            for number in range(4)
         ]
         gevent.joinall(tasks)
         callers.join()
-        ends = [len(crashing.ends_under(b"/crash/%d" % number)) for number in range(4)]
-        return max(ends)
+        crash_counts = [len(crashing.ends_under(b"/crash/%d" % number)) for number in range(4)]
+        return max(crash_counts)
 
     assert play(script, services=("s",) * 12 + ("t",) * 2, slots=16) <= 3
 
 
-def test_the_answer_is_final_tells_when_and_says_that_it_has_not_run():
+def test_refusal_is_immediate_with_retry_after():
     def script(mesh):
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
         assert mesh.wait_for(lambda: len(crashing.crashes) == 2, 2.0)
         gevent.sleep(0.05)
-        begun = mesh.world.loop.now()
+        sent_at = mesh.world.loop.now()
         answer = mesh.request(mesh.machines[6], CRASH, name="refused")
-        seconds = mesh.world.loop.now() - begun
-        after = float(answer.headers["retry-after"])
-        return answer.status, 4.0 < after <= 5.0, seconds < 0.005, mesh.run_of("refused")
+        seconds = mesh.world.loop.now() - sent_at
+        retry_after = float(answer.headers["retry-after"])
+        return answer.status, 4.0 < retry_after <= 5.0, seconds < 0.005, mesh.run_of("refused")
 
     assert play(script, **FLEET) == (503, True, True, [])
 
 
-def test_a_request_is_served_again_once_the_workers_bear_it():
+def test_request_is_served_after_the_workers_are_repaired():
     def script(mesh):
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
@@ -262,13 +252,13 @@
         gevent.sleep(6.0)
         first = mesh.request(mesh.machines[6], CRASH).status
         gevent.sleep(0.1)
-        known = [machine for machine in mesh.machines if has_quarantined(machine)]
-        return first, known, mesh.request(mesh.machines[1], CRASH).status
+        quarantining = [machine for machine in mesh.machines if has_quarantined(machine)]
+        return first, quarantining, mesh.request(mesh.machines[1], CRASH).status
 
     assert play(script, **FLEET) == (200, [], 200)
 
 
-def test_a_try_ends_when_its_request_is_held_though_more_attempts_are_left():
+def test_quarantine_ends_the_retries_of_a_request():
     def script(mesh):
         crashing = CrashingRequests(mesh)
         status = mesh.request(mesh.machines[6], CRASH).status
@@ -278,7 +268,7 @@
     assert play(script, routes=routes, **FLEET) == (502, 2)
 
 
-def test_requests_that_may_run_once_only_are_held_too():
+def test_requests_without_retries_are_quarantined():
     def script(mesh):
         crashing = CrashingRequests(mesh)
         for number in range(12):
@@ -289,19 +279,19 @@
     assert play(script, **FLEET) <= 3
 
 
-class Innocents:
-    """Callers of a service whose workers end for reasons of their own."""
+class UnrelatedCallers:
+    """Callers of a service whose workers crash independently of the requests."""
 
     def __init__(self, mesh, path):
         self._mesh = mesh
         self._path = path
-        self._until = mesh.world.loop.now() + 10.0
+        self._stop_at = mesh.world.loop.now() + 10.0
         self.statuses = []
-        self._task = gevent.spawn(self._call_on)
+        self._task = gevent.spawn(self._call_repeatedly)
 
-    def _call_on(self):
+    def _call_repeatedly(self):
         number = 0
-        while self._mesh.world.loop.now() < self._until:
+        while self._mesh.world.loop.now() < self._stop_at:
             number += 1
             machine = self._mesh.machines[number % len(self._mesh.machines)]
             gevent.spawn(self._call, machine, self._path.format(number))
@@ -310,26 +300,26 @@
     def _call(self, machine, path):
         self.statuses.append(self._mesh.request(machine, path).status)
 
-    def failed(self):
-        """Wait for the last answer; return how many were not served."""
+    def join_and_count_failures(self):
+        """Wait for the last response; return the number of requests that were not served."""
         self._task.join()
         gevent.sleep(4.0)
         return sum(status != 200 for status in self.statuses)
 
 
 @pytest.mark.parametrize("path", ["/read/{}", "/read/popular"])
-@pytest.mark.parametrize("together", [1, 2])
-def test_workers_that_end_for_other_reasons_cost_innocents_nothing(path, together):
+@pytest.mark.parametrize("simultaneous", [1, 2])
+def test_unrelated_crashes_do_not_affect_other_requests(path, simultaneous):
     def script(mesh):
         for machine in mesh.machines:
             machine.worker.state.seconds = 0.16
         crashing = CrashingRequests(mesh)
-        innocents = Innocents(mesh, path)
+        callers = UnrelatedCallers(mesh, path)
         gevent.sleep(1.0)
-        for first in range(0, 4, together):
-            crashing.end(*mesh.machines[first : first + together])
+        for first in range(0, 4, simultaneous):
+            crashing.end(*mesh.machines[first : first + simultaneous])
             gevent.sleep(3.5)
-        failed = innocents.failed()
+        failed = callers.join_and_count_failures()
         return failed, [machine.name for machine in mesh.machines if has_quarantined(machine)]
 
     assert play(script, **FLEET) == (0, [])
--- a/tests/test_crashing_requests_seeds.py
+++ b/tests/test_crashing_requests_seeds.py
@@ -1,6 +1,6 @@
-"""Requests that end workers under drawn faults: kills, pauses, suspensions, cuts, ends of workers.
+"""Quarantine of crashing requests under random faults of sidecars, workers and the network.
 
-Seeds 1 to 50 are played by hand (``python tests/test_crashing_requests_seeds.py``), a few here.
+Run a range of seeds with ``python tests/test_crashing_requests_seeds.py FIRST LAST``.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 
 from cranklane_lab.simulation.crashes import CrashingRequests
 from mesh_support import play
-from test_crashing_requests import Callers, repeat
+from test_crashing_requests import Callers, send_repeatedly
 
-KINDS = 2
+CRASHING_REQUEST_COUNT = 2
 SECONDS = 20.0
-KNOWN_SECONDS = 3.0
-"""After its third end, a request is known at every sidecar in touch this much later."""
+PROPAGATION_SECONDS = 3.0
+"""Time after a request's third crash until it is quarantined at every reachable sidecar."""
 
-MOST_RUNS_AFTER = 3
-CALM_SECONDS = 8.0
-"""Faults end this long before the repeats do."""
+MAX_LATE_RUNS = 3
+FAULT_FREE_SECONDS = 8.0
+"""Time without faults at the end of a run."""
 
 
-class DrawnFaults:
-    """Strikes one machine after the other until its time is over."""
+class RandomFaults:
+    """Injects random faults at random machines until the fault-free time."""
 
     def __init__(self, mesh, crashing, seed):
         self._mesh = mesh
         self._crashing = crashing
         self._random = Random(seed)
-        self._until = mesh.world.loop.now() + SECONDS - CALM_SECONDS
-        gevent.spawn(self._strike_on)
+        self._stop_at = mesh.world.loop.now() + SECONDS - FAULT_FREE_SECONDS
+        gevent.spawn(self._inject_faults)
 
-    def _strike_on(self):
-        faults = (self._kill, self._freeze, self._suspend, self._cut, self._end_worker)
-        while self._mesh.world.loop.now() < self._until:
+    def _inject_faults(self):
+        faults = (self._kill, self._freeze, self._suspend, self._partition, self._crash_worker)
+        while self._mesh.world.loop.now() < self._stop_at:
             gevent.sleep(self._random.uniform(0.3, 2.0))
             self._random.choice(faults)(self._random.choice(self._mesh.machines))
 
@@ -56,57 +56,65 @@
         machine.process.suspend(seconds)
         machine.worker_process.suspend(seconds)
 
-    def _cut(self, machine):
+    def _partition(self, machine):
         network = self._mesh.world.network
-        others = [item.process.name for item in self._mesh.machines if item is not machine]
-        others += [item.process.name for item in self._mesh.controllers]
-        for other in others:
+        other_processes = [peer.process.name for peer in self._mesh.machines if peer is not machine]
+        other_processes += [peer.process.name for peer in self._mesh.controllers]
+        for other in other_processes:
             network.cut(machine.process.name, other)
             network.cut(other, machine.process.name)
         gevent.sleep(self._random.uniform(0.3, 3.0))
         network.heal_all()
 
-    def _end_worker(self, machine):
+    def _crash_worker(self, machine):
         self._crashing.end(machine)
 
 
-def drawn(seed):
-    """Play a seed; return ends and late runs of each request, held requests, part served."""
+def play_seed(seed):
+    """Run a simulation with random faults.
+
+    :returns: crashes per request, late runs per request, number of quarantined requests and
+        fraction of other requests served.
+    """
 
     def script(mesh):
         crashing = CrashingRequests(mesh)
         callers = Callers(mesh, SECONDS)
-        DrawnFaults(mesh, crashing, seed)
-        paths = [f"/read/crash/{kind}" for kind in range(KINDS)]
-        gevent.joinall([gevent.spawn(repeat, mesh, path, 40, SECONDS / 40) for path in paths])
+        RandomFaults(mesh, crashing, seed)
+        paths = [f"/read/crash/{index}" for index in range(CRASHING_REQUEST_COUNT)]
+        gevent.joinall(
+            [gevent.spawn(send_repeatedly, mesh, path, 40, SECONDS / 40) for path in paths]
+        )
         served = callers.join()
-        ends, late = [], []
+        crash_counts, late_runs = [], []
         for path in paths:
-            moments = [crash.at for crash in crashing.ends_under(path.encode())]
-            ends.append(len(moments))
-            known = moments[2] + KNOWN_SECONDS if len(moments) > 2 else float("inf")
+            crash_times = [crash.at for crash in crashing.ends_under(path.encode())]
+            crash_counts.append(len(crash_times))
+            propagated_at = (
+                crash_times[2] + PROPAGATION_SECONDS if len(crash_times) > 2 else float("inf")
+            )
             runs = crashing.runs_of(path.encode())
-            late.append(sum(run.at > known for run in runs))
-        held = {
+            late_runs.append(sum(run.at > propagated_at for run in runs))
+        quarantined = {
             entry.identity
             for machine in mesh.machines
             for entry in machine.sidecar.quarantine.table.quarantined()
         }
-        return ends, late, len(held), served
+        return crash_counts, late_runs, len(quarantined), served
 
     return play(script, seed=seed, services=("s",) * 8 + ("t",) * 3, slots=16)
 
 
-def assert_good(played):
-    ends, late, held, _ = played
-    assert max(late) <= MOST_RUNS_AFTER
-    assert held <= KINDS
-    assert max(ends) <= 3
+def check_invariants(results):
+    crash_counts, late_runs, quarantined_count, _ = results
+    assert max(late_runs) <= MAX_LATE_RUNS
+    assert quarantined_count <= CRASHING_REQUEST_COUNT
+    assert max(crash_counts) <= 3
 
 
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_under_drawn_faults_the_request_is_known_and_no_other_is_held(seed):
-    assert_good(drawn(seed))
+def test_quarantine_under_random_faults(seed):
+    check_invariants(play_seed(seed))
 
 
 if __name__ == "__main__":
@@ -114,4 +122,4 @@
 
     quiet()
     for number in range(int(sys.argv[1]), int(sys.argv[2]) + 1):
-        print(number, drawn(number), flush=True)
+        print(number, play_seed(number), flush=True)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""The table of suspected and held requests of one sidecar, and what sidecars tell each other."""
+"""Quarantine table of a sidecar, and the updates that sidecars exchange."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from cranklane.sidecar.quarantine.table import MAX_QUARANTINED, MAX_SUSPECTED, Quarantine
 from cranklane.sidecar.request.identity import identity_of
 
-GUILTY = b"g" * 16
-BESIDE = b"b" * 16
+CRASHING = b"g" * 16
+CONCURRENT = b"b" * 16
 
 
 class Clock:
@@ -29,13 +29,13 @@
 
 
 class Sidecar:
-    """A table and the news that it has told."""
+    """A table and the updates that it has sent."""
 
     def __init__(self, clock):
-        self.news = []
-        self.table = Quarantine(clock, self.news.extend)
+        self.updates = []
+        self.table = Quarantine(clock, self.updates.extend)
 
-    def end(self, name, *runs):
+    def crash(self, name, *runs):
         self.table.worker_crashed("s", crash_id(name), dict(runs))
 
 
@@ -49,170 +49,170 @@
     return Sidecar(clock)
 
 
-def test_the_first_end_holds_nobody(sidecar):
-    sidecar.end("one", (GUILTY, 0), (BESIDE, 0))
-    assert sidecar.table.state(GUILTY) is QuarantineState.SUSPECTED
-    assert sidecar.table.state(BESIDE) is QuarantineState.SUSPECTED
+def test_first_crash_quarantines_nothing(sidecar):
+    sidecar.crash("one", (CRASHING, 0), (CONCURRENT, 0))
+    assert sidecar.table.state(CRASHING) is QuarantineState.SUSPECTED
+    assert sidecar.table.state(CONCURRENT) is QuarantineState.SUSPECTED
     assert sidecar.table.quarantined() == []
 
 
-def test_the_end_of_a_second_worker_speaks_only_against_the_suspect(sidecar):
-    sidecar.end("one", (GUILTY, 0))
-    sidecar.end("two", (GUILTY, 1), (BESIDE, 0))
-    assert sidecar.table.state(GUILTY) is QuarantineState.QUARANTINED
-    assert sidecar.table.state(BESIDE) is QuarantineState.SUSPECTED
-    assert sidecar.table.suspicion_level(BESIDE) == 1
+def test_second_crash_is_evidence_only_against_the_suspect(sidecar):
+    sidecar.crash("one", (CRASHING, 0))
+    sidecar.crash("two", (CRASHING, 1), (CONCURRENT, 0))
+    assert sidecar.table.state(CRASHING) is QuarantineState.QUARANTINED
+    assert sidecar.table.state(CONCURRENT) is QuarantineState.SUSPECTED
+    assert sidecar.table.suspicion_level(CONCURRENT) == 1
 
 
-def test_ends_at_one_moment_hold_nobody(sidecar):
+def test_simultaneous_crashes_quarantine_nothing(sidecar):
     for name in ("one", "two", "three", "four"):
-        sidecar.end(name, (GUILTY, 0))
-    assert sidecar.table.state(GUILTY) is QuarantineState.SUSPECTED
+        sidecar.crash(name, (CRASHING, 0))
+    assert sidecar.table.state(CRASHING) is QuarantineState.SUSPECTED
 
 
-def test_of_several_suspects_at_one_end_none_is_held_and_the_next_end_tells(sidecar):
-    sidecar.end("one", (GUILTY, 0), (BESIDE, 0))
-    sidecar.end("two", (GUILTY, 1), (BESIDE, 1))
+def test_crash_with_several_suspects_quarantines_none_until_the_next(sidecar):
+    sidecar.crash("one", (CRASHING, 0), (CONCURRENT, 0))
+    sidecar.crash("two", (CRASHING, 1), (CONCURRENT, 1))
     assert sidecar.table.quarantined() == []
-    sidecar.end("three", (GUILTY, 2), (BESIDE, 1))
-    assert [entry.identity for entry in sidecar.table.quarantined()] == [GUILTY]
-    assert sidecar.table.seconds_left(GUILTY) == SECOND_QUARANTINE_SECONDS
+    sidecar.crash("three", (CRASHING, 2), (CONCURRENT, 1))
+    assert [entry.identity for entry in sidecar.table.quarantined()] == [CRASHING]
+    assert sidecar.table.seconds_left(CRASHING) == SECOND_QUARANTINE_SECONDS
 
 
-def test_the_first_hold_is_short_and_the_second_long(sidecar, clock):
-    sidecar.end("one", (GUILTY, 0))
-    sidecar.end("two", (GUILTY, 1))
-    assert sidecar.table.seconds_left(GUILTY) == FIRST_QUARANTINE_SECONDS
+def test_first_quarantine_is_short_and_second_long(sidecar, clock):
+    sidecar.crash("one", (CRASHING, 0))
+    sidecar.crash("two", (CRASHING, 1))
+    assert sidecar.table.seconds_left(CRASHING) == FIRST_QUARANTINE_SECONDS
     clock.now += FIRST_QUARANTINE_SECONDS
-    assert sidecar.table.state(GUILTY) is QuarantineState.ON_PROBATION
-    sidecar.table.probation_run_begins(GUILTY)
-    assert sidecar.table.seconds_left(GUILTY) == PROBATION_RUN_SECONDS
-    sidecar.end("three", (GUILTY, 2))
-    assert sidecar.table.seconds_left(GUILTY) == SECOND_QUARANTINE_SECONDS
-
-
-def test_an_answer_clears_a_suspect_and_one_on_probation(sidecar, clock):
-    sidecar.end("one", (GUILTY, 0), (BESIDE, 0))
-    sidecar.table.answered(BESIDE)
-    assert sidecar.table.state(BESIDE) is QuarantineState.CLEAR
-    sidecar.end("two", (GUILTY, 1))
+    assert sidecar.table.state(CRASHING) is QuarantineState.ON_PROBATION
+    sidecar.table.probation_run_begins(CRASHING)
+    assert sidecar.table.seconds_left(CRASHING) == PROBATION_RUN_SECONDS
+    sidecar.crash("three", (CRASHING, 2))
+    assert sidecar.table.seconds_left(CRASHING) == SECOND_QUARANTINE_SECONDS
+
+
+def test_response_clears_a_suspect_and_one_on_probation(sidecar, clock):
+    sidecar.crash("one", (CRASHING, 0), (CONCURRENT, 0))
+    sidecar.table.answered(CONCURRENT)
+    assert sidecar.table.state(CONCURRENT) is QuarantineState.CLEAR
+    sidecar.crash("two", (CRASHING, 1))
     clock.now += FIRST_QUARANTINE_SECONDS
-    sidecar.table.probation_run_begins(GUILTY)
-    sidecar.table.answered(GUILTY)
+    sidecar.table.probation_run_begins(CRASHING)
+    sidecar.table.answered(CRASHING)
     assert sidecar.table.is_empty
 
 
-def test_a_suspect_that_is_not_seen_again_is_forgotten(sidecar, clock):
-    sidecar.end("one", (GUILTY, 0))
+def test_suspicion_expires(sidecar, clock):
+    sidecar.crash("one", (CRASHING, 0))
     clock.now += SUSPICION_SECONDS + 1
-    assert sidecar.table.state(GUILTY) is QuarantineState.CLEAR
+    assert sidecar.table.state(CRASHING) is QuarantineState.CLEAR
     assert sidecar.table.is_empty
 
 
-def test_news_bring_another_sidecar_to_the_same_state(sidecar, clock):
-    other = Sidecar(clock)
-    sidecar.end("one", (GUILTY, 0))
-    sidecar.end("two", (GUILTY, 1))
-    assert other.table.merge(sidecar.news)
-    assert other.table.state(GUILTY) is QuarantineState.QUARANTINED
-    assert other.table.digest() == sidecar.table.digest()
-    assert other.table.merge(sidecar.table.entries()) == []
-    assert other.news == []
+def test_updates_bring_a_peer_to_the_same_state(sidecar, clock):
+    peer = Sidecar(clock)
+    sidecar.crash("one", (CRASHING, 0))
+    sidecar.crash("two", (CRASHING, 1))
+    assert peer.table.merge(sidecar.updates)
+    assert peer.table.state(CRASHING) is QuarantineState.QUARANTINED
+    assert peer.table.digest() == sidecar.table.digest()
+    assert peer.table.merge(sidecar.table.entries()) == []
+    assert peer.updates == []
 
 
-def test_ends_seen_at_two_places_count_together(clock):
+def test_crashes_observed_at_two_sidecars_add_up(clock):
     first, second = Sidecar(clock), Sidecar(clock)
     for sidecar, name in ((first, "two"), (second, "three")):
-        sidecar.end("one", (GUILTY, 0))
-        sidecar.end(name, (GUILTY, 1))
-    first.table.merge(second.news)
-    assert first.table.seconds_left(GUILTY) == SECOND_QUARANTINE_SECONDS
-
-
-def test_news_that_is_older_than_a_clearing_holds_nobody(sidecar, clock):
-    other = Sidecar(clock)
-    sidecar.end("one", (GUILTY, 0))
-    sidecar.end("two", (GUILTY, 1))
-    old = list(sidecar.news)
-    other.table.merge(old)
-    sidecar.table.lift(GUILTY)
-    other.table.merge(sidecar.news[-1:])
-    assert other.table.is_empty
-    assert other.table.merge(old[-1:]) == []
-    assert sidecar.table.merge(old[-1:]) == []
-    assert other.table.is_empty and sidecar.table.is_empty
-
-
-def test_a_sidecar_that_missed_a_clearing_is_corrected(sidecar, clock):
-    other = Sidecar(clock)
-    sidecar.end("one", (GUILTY, 0))
-    sidecar.end("two", (GUILTY, 1))
-    other.table.merge(sidecar.news)
-    sidecar.table.lift(GUILTY)
-    stale = other.table.entries()
+        sidecar.crash("one", (CRASHING, 0))
+        sidecar.crash(name, (CRASHING, 1))
+    first.table.merge(second.updates)
+    assert first.table.seconds_left(CRASHING) == SECOND_QUARANTINE_SECONDS
+
+
+def test_update_older_than_a_clearing_is_ignored(sidecar, clock):
+    peer = Sidecar(clock)
+    sidecar.crash("one", (CRASHING, 0))
+    sidecar.crash("two", (CRASHING, 1))
+    outdated = list(sidecar.updates)
+    peer.table.merge(outdated)
+    sidecar.table.lift(CRASHING)
+    peer.table.merge(sidecar.updates[-1:])
+    assert peer.table.is_empty
+    assert peer.table.merge(outdated[-1:]) == []
+    assert sidecar.table.merge(outdated[-1:]) == []
+    assert peer.table.is_empty and sidecar.table.is_empty
+
+
+def test_peer_that_missed_a_clearing_is_corrected(sidecar, clock):
+    peer = Sidecar(clock)
+    sidecar.crash("one", (CRASHING, 0))
+    sidecar.crash("two", (CRASHING, 1))
+    peer.table.merge(sidecar.updates)
+    sidecar.table.lift(CRASHING)
+    stale = peer.table.entries()
     assert sidecar.table.merge(stale) == []
-    other.table.merge(sidecar.table.corrections(stale))
-    assert other.table.is_empty
+    peer.table.merge(sidecar.table.corrections(stale))
+    assert peer.table.is_empty
 
 
-def test_an_operators_hold_counts_after_an_earlier_clearing_too(sidecar, clock):
-    other = Sidecar(clock)
+def test_operator_quarantine_is_effective_after_a_clearing(sidecar, clock):
+    peer = Sidecar(clock)
     for _ in range(2):
         clock.now += 1
-        sidecar.table.quarantine("s", GUILTY, 60.0)
-        other.table.merge(sidecar.news)
-        assert other.table.state(GUILTY) is QuarantineState.QUARANTINED
-        sidecar.table.lift(GUILTY)
-        other.table.merge(sidecar.news)
-        assert other.table.is_empty
-        sidecar.news.clear()
-
-
-def test_refusals_of_a_gate_do_not_hold_longer_than_the_gate_does(sidecar, clock):
-    sidecar.end("one", (GUILTY, 0))
-    sidecar.end("two", (GUILTY, 1))
+        sidecar.table.quarantine("s", CRASHING, 60.0)
+        peer.table.merge(sidecar.updates)
+        assert peer.table.state(CRASHING) is QuarantineState.QUARANTINED
+        sidecar.table.lift(CRASHING)
+        peer.table.merge(sidecar.updates)
+        assert peer.table.is_empty
+        sidecar.updates.clear()
+
+
+def test_refusals_by_a_gate_do_not_extend_its_quarantine(sidecar, clock):
+    sidecar.crash("one", (CRASHING, 0))
+    sidecar.crash("two", (CRASHING, 1))
     for _ in range(10):
-        left = sidecar.table.seconds_left(GUILTY)
-        sidecar.table.learn("s", GUILTY, left)
+        seconds_left = sidecar.table.seconds_left(CRASHING)
+        sidecar.table.learn("s", CRASHING, seconds_left)
         clock.now += 0.4
     clock.now += FIRST_QUARANTINE_SECONDS - 4.0
-    assert sidecar.table.state(GUILTY) is QuarantineState.ON_PROBATION
+    assert sidecar.table.state(CRASHING) is QuarantineState.ON_PROBATION
 
 
-def test_a_flood_of_different_requests_stays_within_the_bounds(sidecar):
+def test_table_size_is_bounded(sidecar):
     for number in range(5000):
         identity = number.to_bytes(16)
-        sidecar.end(f"a{number}", (identity, 0))
-        sidecar.end(f"b{number}", (identity, 1))
+        sidecar.crash(f"a{number}", (identity, 0))
+        sidecar.crash(f"b{number}", (identity, 1))
         sidecar.table.suspect("s", (number + 10**6).to_bytes(16))
     assert len(sidecar.table.quarantined()) == MAX_QUARANTINED
     assert len(sidecar.table._entries) <= MAX_QUARANTINED + MAX_SUSPECTED
 
 
-def test_a_request_that_was_cleared_meanwhile_begins_anew(sidecar, clock):
-    sidecar.end("one", (GUILTY, 0))
-    sidecar.table.answered(GUILTY)
-    sidecar.table.retried("s", GUILTY)
-    assert sidecar.table.state(GUILTY) is QuarantineState.CLEAR
-    sidecar.end("two", (GUILTY, 1))
-    assert sidecar.table.state(GUILTY) is QuarantineState.SUSPECTED
-    sidecar.table.answered(GUILTY)
+def test_cleared_request_loses_its_suspicion_level(sidecar, clock):
+    sidecar.crash("one", (CRASHING, 0))
+    sidecar.table.answered(CRASHING)
+    sidecar.table.retried("s", CRASHING)
+    assert sidecar.table.state(CRASHING) is QuarantineState.CLEAR
+    sidecar.crash("two", (CRASHING, 1))
+    assert sidecar.table.state(CRASHING) is QuarantineState.SUSPECTED
+    sidecar.table.answered(CRASHING)
     clock.now += 2.0
-    sidecar.table.retried("s", GUILTY)
-    assert sidecar.table.state(GUILTY) is QuarantineState.SUSPECTED
+    sidecar.table.retried("s", CRASHING)
+    assert sidecar.table.state(CRASHING) is QuarantineState.SUSPECTED
 
 
-def test_operators_hold_and_lift(sidecar):
-    sidecar.table.quarantine("s", GUILTY, 60.0)
-    assert sidecar.table.state(GUILTY) is QuarantineState.QUARANTINED
-    assert sidecar.table.lift(GUILTY)
-    assert sidecar.table.state(GUILTY) is QuarantineState.CLEAR
-    assert not sidecar.table.lift(GUILTY)
+def test_operator_quarantine_and_clearing(sidecar):
+    sidecar.table.quarantine("s", CRASHING, 60.0)
+    assert sidecar.table.state(CRASHING) is QuarantineState.QUARANTINED
+    assert sidecar.table.lift(CRASHING)
+    assert sidecar.table.state(CRASHING) is QuarantineState.CLEAR
+    assert not sidecar.table.lift(CRASHING)
 
 
-def test_an_entry_outlives_its_record():
-    entry = QuarantineEntry(5000, False, "s", crash_id("one"), GUILTY)
-    assert QuarantineEntry.unpack(entry.pack()).identity == GUILTY
+def test_packed_entry_keeps_its_identity():
+    entry = QuarantineEntry(5000, False, "s", crash_id("one"), CRASHING)
+    assert QuarantineEntry.unpack(entry.pack()).identity == CRASHING
 
 
 LINES = b"GET /a HTTP/1.1\r\nHost: h\r\nX-Id: 1\r\n"
@@ -230,13 +230,11 @@
         ("s", "", LINES, b"", 70_000),
     ],
 )
-def test_requests_that_differ_in_what_they_ask_are_not_the_same(
-    service, tenant, lines, body, length
-):
+def test_different_requests_have_different_identities(service, tenant, lines, body, length):
     assert identity_of(service, tenant, lines, body, length) != identity_of("s", "", LINES, b"", 0)
 
 
-def test_the_parts_of_a_large_body_that_count_are_the_first():
+def test_identity_of_a_large_body_covers_prefix_and_length():
     body = b"x" * 65_536
     first = identity_of("s", "", LINES, body, 100_000)
     assert first == identity_of("s", "", LINES, body + b"y", 100_000)
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -1,4 +1,7 @@
-"""Each mechanism against requests that end workers, switched off: its promise then breaks."""
+"""Ablation tests of the quarantine: disabling a mechanism must break the guarantee it provides.
+
+Also covers the retention of absent sidecars in the directory.
+"""
 
 from __future__ import annotations
 
@@ -18,47 +21,50 @@
 from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane_lab.simulation.crashes import CrashingRequests
 from mesh_support import play
-from test_crashing_requests import FLEET, Innocents, has_quarantined, repeat
+from test_crashing_requests import FLEET, UnrelatedCallers, has_quarantined, send_repeatedly
 
 
-def ends_of_one(mesh):
+def count_crashes(mesh):
     crashing = CrashingRequests(mesh)
-    repeat(mesh)
+    send_repeatedly(mesh)
     return len(crashing.crashes)
 
 
-def test_with_all_mechanisms_a_request_ends_three_workers():
-    assert play(ends_of_one, **FLEET) == 3
+def test_with_all_mechanisms_a_request_crashes_three_workers():
+    assert play(count_crashes, **FLEET) == 3
 
 
-def test_without_news_of_others_it_ends_more(monkeypatch):
+def test_without_updates_it_crashes_more(monkeypatch):
     monkeypatch.setattr(QuarantineGossip, "_send", lambda *_: None)
     monkeypatch.setattr(AntiEntropy, "_sync_with_peers", lambda _self: True)
-    assert play(ends_of_one, **FLEET) > 3
+    assert play(count_crashes, **FLEET) > 3
 
 
-def test_without_holds_it_ends_more(monkeypatch):
+def test_without_quarantine_it_crashes_more(monkeypatch):
     monkeypatch.setattr(rules, "quarantine_seconds", lambda _ends: 0.0)
     monkeypatch.setattr(rules, "PROBATION_RUN_SECONDS", 0.0)
-    assert play(ends_of_one, **FLEET) > 3
+    assert play(count_crashes, **FLEET) > 3
+
 
+def max_crashes_of_concurrent_requests(mesh):
+    """Send four crashing requests concurrently to the same machines.
 
-def ends_beside_others(mesh):
-    """Send two requests that end workers at the same machines and moments."""
+    :returns: the largest number of workers crashed by one of them.
+    """
     crashing = CrashingRequests(mesh)
-    tasks = [gevent.spawn(repeat, mesh, f"/read/crash/{n}", 12, 0.9) for n in range(4)]
+    tasks = [gevent.spawn(send_repeatedly, mesh, f"/read/crash/{n}", 12, 0.9) for n in range(4)]
     gevent.joinall(tasks)
     return max(len(crashing.ends_under(b"/crash/%d" % n)) for n in range(4))
 
 
-MANY = {"services": ("s",) * 12 + ("t",) * 2, "slots": 16}
+LARGE_FLEET = {"services": ("s",) * 12 + ("t",) * 2, "slots": 16}
 
 
-def test_with_isolated_runs_each_of_several_ends_three_at_most():
-    assert play(ends_beside_others, **MANY) <= 3
+def test_with_isolation_each_of_several_crashes_at_most_three():
+    assert play(max_crashes_of_concurrent_requests, **LARGE_FLEET) <= 3
 
 
-def test_without_isolated_runs_they_hide_each_other(monkeypatch):
+def test_without_isolation_several_crash_more(monkeypatch):
     def admit(self, request, _on_wait):
         if self._quarantine.is_empty:
             return SuspectAdmission()
@@ -69,81 +75,84 @@
         )
 
     monkeypatch.setattr(isolated_runs.IsolatedRuns, "admit", admit)
-    assert play(ends_beside_others, **MANY) > 3
+    assert play(max_crashes_of_concurrent_requests, **LARGE_FLEET) > 3
+
 
+def popular_request_quarantined(mesh):
+    """Crash pairs of workers in quick succession while all callers send the same request.
 
-def popular_quarantined(mesh):
-    """End two workers shortly after each other while all callers send the same request."""
+    :returns: whether any sidecar quarantined the request.
+    """
     for machine in mesh.machines:
         machine.worker.state.seconds = 0.16
     crashing = CrashingRequests(mesh)
-    innocents = Innocents(mesh, "/read/popular")
+    callers = UnrelatedCallers(mesh, "/read/popular")
     gevent.sleep(1.0)
-    were_held = False
+    was_quarantined = False
     for first in range(0, 4, 2):
         crashing.end(mesh.machines[first])
         gevent.sleep(0.02)
         crashing.end(mesh.machines[first + 1])
         for _ in range(100):
-            were_held |= any(has_quarantined(machine) for machine in mesh.machines)
+            was_quarantined |= any(has_quarantined(machine) for machine in mesh.machines)
             gevent.sleep(0.005)
         gevent.sleep(3.0)
-    innocents.failed()
-    return were_held
+    callers.join_and_count_failures()
+    return was_quarantined
 
 
-def test_a_popular_request_is_not_held_for_ends_shortly_after_each_other():
-    assert not play(popular_quarantined, **FLEET)
+def test_popular_request_is_not_quarantined_after_quick_crashes():
+    assert not play(popular_request_quarantined, **FLEET)
 
 
-def test_by_its_most_suspected_copy_it_would_be_held(monkeypatch):
-    judge = Quarantine.worker_crashed
+def test_highest_level_of_copies_would_quarantine_a_popular_request(monkeypatch):
+    original_worker_crashed = Quarantine.worker_crashed
 
-    def worker_crashed(self, service, end, runs):
+    def worker_crashed(self, service, crash, runs):
         for identity in [identity for identity, level in runs.items() if level]:
             self.suspect(service, identity)
-        judge(self, service, end, runs)
+        original_worker_crashed(self, service, crash, runs)
 
     monkeypatch.setattr(crash_evidence, "_suspicion_level_of", lambda run: -run.suspicion_level)
     monkeypatch.setattr(Quarantine, "retried", Quarantine.suspect)
     monkeypatch.setattr(Quarantine, "worker_crashed", worker_crashed)
-    assert play(popular_quarantined, **FLEET)
+    assert play(popular_request_quarantined, **FLEET)
 
 
-# Where the others are.
+# Retention of absent sidecars.
 
 
 @pytest.fixture
 def directory():
     clock = [100.0]
-    made = SidecarDirectory(lambda: clock[0], "own")
-    made.now = clock
-    return made
+    new_directory = SidecarDirectory(lambda: clock[0], "own")
+    new_directory.now = clock
+    return new_directory
 
 
 def member(node, service="s", state=0):
     return Member(state=state, node=node, service=service, address="10.0.0.1:1")
 
 
-def names(directory, service=""):
-    return [other.node for other in directory.of(service)]
+def node_names(directory, service=""):
+    return [peer.node for peer in directory.of(service)]
 
 
-def test_a_sidecar_whose_worker_is_down_is_told_for_a_while(directory):
+def test_sidecar_with_worker_down_is_retained_temporarily(directory):
     directory.apply(MemberDelta(True, [member("b"), member("a"), member("c", "t"), member("own")]))
-    assert names(directory) == ["a", "b", "c"]
-    assert names(directory, "s") == ["a", "b"]
+    assert node_names(directory) == ["a", "b", "c"]
+    assert node_names(directory, "s") == ["a", "b"]
     directory.apply(MemberDelta(False, [member("a", state=2)]))
-    assert names(directory, "s") == ["a", "b"]
+    assert node_names(directory, "s") == ["a", "b"]
     directory.now[0] += ABSENT_RETENTION_SECONDS + 1
     directory.apply(MemberDelta(False, []))
-    assert names(directory, "s") == ["b"]
+    assert node_names(directory, "s") == ["b"]
 
 
-def test_a_sidecar_that_a_whole_list_leaves_out_is_told_for_a_while(directory):
+def test_sidecar_missing_from_a_complete_list_is_retained_temporarily(directory):
     directory.apply(MemberDelta(True, [member("a"), member("b")]))
     directory.apply(MemberDelta(True, [member("a")]))
-    assert names(directory) == ["a", "b"]
+    assert node_names(directory) == ["a", "b"]
     directory.now[0] += ABSENT_RETENTION_SECONDS + 1
     directory.apply(MemberDelta(False, []))
-    assert names(directory) == ["a"]
+    assert node_names(directory) == ["a"]
--- a/tests/test_quarantine_operators.py
+++ b/tests/test_quarantine_operators.py
@@ -1,4 +1,4 @@
-"""What operators see of held requests, and how they lift and add holds."""
+"""Operator API of the quarantine: listing, adding and lifting quarantines."""
 
 from __future__ import annotations
 
@@ -33,26 +33,28 @@
     return Quarantine(lambda: 100.0, lambda _entries: None)
 
 
-def ask(table, path, digest=DIGEST, **value):
+def post_change(table, path, digest=DIGEST, **value):
     api = QuarantineApi(table, lambda: digest, Log(), lambda *_: SmallAnswer(404))
     return api.handle("POST", f"/v1/quarantine/{path}", json.dumps(value).encode())
 
 
-def test_a_hold_is_added_listed_and_lifted(table):
-    added = ask(table, "hold", token=TOKEN, identity=IDENTITY, service="s", seconds=60)
+def test_quarantine_is_added_listed_and_lifted(table):
+    added = post_change(table, "hold", token=TOKEN, identity=IDENTITY, service="s", seconds=60)
     assert added.status == 200
     assert table.state(bytes.fromhex(IDENTITY)) is QuarantineState.QUARANTINED
     api = QuarantineApi(table, lambda: "", Log(), lambda *_: SmallAnswer(404))
     held = json.loads(api.handle("GET", "/v1/quarantine", b"").body)["held"]
     assert held == [{"identity": IDENTITY, "service": "s", "seconds_left": 60.0, "ends": 1}]
-    assert ask(table, "lift", token=TOKEN, identity=IDENTITY).status == 200
+    assert post_change(table, "lift", token=TOKEN, identity=IDENTITY).status == 200
     assert table.is_empty
-    assert ask(table, "lift", token=TOKEN, identity=IDENTITY).status == 400
+    assert post_change(table, "lift", token=TOKEN, identity=IDENTITY).status == 400
 
 
 @pytest.mark.parametrize("digest", ["", secret_digest(b"another")])
-def test_without_the_operators_token_nothing_changes(table, digest):
-    refused = ask(table, "hold", digest, token=TOKEN, identity=IDENTITY, service="s", seconds=60)
+def test_wrong_operator_token_is_rejected(table, digest):
+    refused = post_change(
+        table, "hold", digest, token=TOKEN, identity=IDENTITY, service="s", seconds=60
+    )
     assert refused.status == 403
     assert table.is_empty
 
@@ -68,15 +70,15 @@
         ("seconds", 1e9),
     ],
 )
-def test_a_bad_field_is_named(table, field, value):
-    good = {"token": TOKEN, "identity": IDENTITY, "service": "s", "seconds": 60}
-    refused = ask(table, "hold", **{**good, field: value})
+def test_error_names_the_invalid_field(table, field, value):
+    valid = {"token": TOKEN, "identity": IDENTITY, "service": "s", "seconds": 60}
+    refused = post_change(table, "hold", **{**valid, field: value})
     assert refused.status == 400
     assert json.loads(refused.body)["problems"][0].startswith(field)
     assert table.is_empty
 
 
-def test_a_hold_that_is_lifted_at_one_sidecar_is_lifted_at_all():
+def test_lift_takes_effect_at_all_sidecars():
     def script(mesh):
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
@@ -93,13 +95,15 @@
         body = json.dumps({"token": TOKEN, "identity": identity}).encode()
         lifted = exchange(operator, address, "POST", "/v1/quarantine/lift", {}, body)
         gevent.sleep(0.05)
-        left = [item.name for item in mesh.machines if not item.sidecar.quarantine.table.is_empty]
-        return lifted.status, left, mesh.request(mesh.machines[1], CRASH).status
+        quarantining = [
+            node.name for node in mesh.machines if not node.sidecar.quarantine.table.is_empty
+        ]
+        return lifted.status, quarantining, mesh.request(mesh.machines[1], CRASH).status
 
     assert play(script, **FLEET) == (200, [], 200)
 
 
-def test_a_held_request_leads_to_the_hold(tmp_path):
+def test_explanation_of_a_refusal_names_the_quarantine(tmp_path):
     def script(mesh):
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH, name="first-one")
@@ -107,7 +111,7 @@
         gevent.sleep(0.1)
         assert mesh.request(mesh.machines[6], CRASH, name="held-one").status == 503
 
-    told = explained(script, tmp_path, "held-one", **FLEET)
-    assert "quarantine_refusal service=s identity=" in told
-    assert "cause: workers that ran this very request before have ended" in told
-    assert "it was not run" in told
+    explanation = explained(script, tmp_path, "held-one", **FLEET)
+    assert "quarantine_refusal service=s identity=" in explanation
+    assert "cause: workers that ran this very request before have ended" in explanation
+    assert "it was not run" in explanation
--- a/tests/test_quarantine_rules.py
+++ b/tests/test_quarantine_rules.py
@@ -1,4 +1,4 @@
-"""The rules of the quarantine, each by its inputs."""
+"""Rules of the quarantine: states, durations, evidence and merging of reports."""
 
 import pytest
 
@@ -20,7 +20,7 @@
         (NOW - 3600.0, NOW - 3600.0, QuarantineState.ON_PROBATION),
     ],
 )
-def test_the_state_of_a_request(suspected_at, quarantined_until, state):
+def test_state_of_a_request(suspected_at, quarantined_until, state):
     assert rules.state_at(NOW, suspected_at, quarantined_until) is state
 
 
@@ -35,7 +35,7 @@
         (NOW - 4000.0, NOW + 1.0, False),
     ],
 )
-def test_when_a_request_is_forgotten(suspected_at, quarantined_until, forgotten):
+def test_entry_expiry(suspected_at, quarantined_until, forgotten):
     assert rules.is_forgotten(NOW, suspected_at, quarantined_until) is forgotten
 
 
@@ -43,7 +43,7 @@
     ("crashes", "seconds"),
     [(1, 5.0), (2, 300.0), (3, 600.0), (4, 1200.0), (5, 2400.0), (6, 3600.0), (20, 3600.0)],
 )
-def test_how_long_a_quarantine_lasts(crashes, seconds):
+def test_quarantine_duration_by_number_of_crashes(crashes, seconds):
     assert rules.quarantine_seconds(crashes) == seconds
 
 
@@ -57,7 +57,7 @@
         ({b"a": 2, b"b": 1, b"c": 2}, [b"a", b"c"]),
     ],
 )
-def test_against_which_runs_a_crash_is_evidence(levels, blamed):
+def test_crash_is_evidence_against_the_most_suspected(levels, blamed):
     assert rules.most_suspected(levels) == blamed
 
 
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reported_seconds", "known", "reported", "seconds"),
+    ("reported_seconds", "local_crashes", "reported", "seconds"),
     [
         (5.0, "", "one", 5.0),
         (5.0, "one", "one", 5.0),
@@ -79,8 +79,10 @@
         (0.0, "one", "", 0.0),
     ],
 )
-def test_crashes_that_were_seen_apart_count_together(reported_seconds, known, reported, seconds):
-    assert rules.merged_seconds(reported_seconds, crashes(known), crashes(reported)) == seconds
+def test_concurrently_observed_crashes_add_up(reported_seconds, local_crashes, reported, seconds):
+    assert (
+        rules.merged_seconds(reported_seconds, crashes(local_crashes), crashes(reported)) == seconds
+    )
 
 
 @pytest.mark.parametrize(
@@ -92,7 +94,7 @@
         (NOW + 1.1, NOW, True),
     ],
 )
-def test_a_reported_quarantine_counts_only_where_it_is_longer(reported_until, local_until, longer):
+def test_reported_quarantine_applies_only_if_longer(reported_until, local_until, longer):
     assert rules.is_longer(reported_until, local_until) is longer
 
 
@@ -107,16 +109,14 @@
         (0, "one", "one", False),
     ],
 )
-def test_a_report_is_outdated_by_a_clearing_that_knew_all_its_evidence(
-    held_ms, reported, cleared, outdated
-):
-    known = None if cleared is None else crashes(cleared)
-    assert rules.is_outdated(held_ms, crashes(reported), known) is outdated
+def test_clearing_of_all_evidence_outdates_a_report(held_ms, reported, cleared, outdated):
+    cleared_crashes = None if cleared is None else crashes(cleared)
+    assert rules.is_outdated(held_ms, crashes(reported), cleared_crashes) is outdated
 
 
 @pytest.mark.parametrize(
-    ("known", "cleared", "clears"),
+    ("local_crashes", "cleared", "clears"),
     [("one", "one", True), ("", "one", True), ("one two", "one", False), ("one", "", False)],
 )
-def test_a_clearing_counts_where_it_knew_all_evidence(known, cleared, clears):
-    assert rules.is_cleared(crashes(known), crashes(cleared)) is clears
+def test_clearing_applies_if_it_covers_all_evidence(local_crashes, cleared, clears):
+    assert rules.is_cleared(crashes(local_crashes), crashes(cleared)) is clears
