--- a/src/cranklane/sidecar/admission/isolated_runs.py
+++ b/src/cranklane/sidecar/admission/isolated_runs.py
@@ -118,8 +118,8 @@
                 return self._isolate(request, identity, on_wait)
 
     def _quarantined(self, identity: Identity) -> SuspectAdmission:
-        left_ms = retry_after.quarantined_ms(self._quarantine.seconds_left(identity))
-        return SuspectAdmission(Reason.QUARANTINED, retry_after_ms=left_ms)
+        remaining_ms = retry_after.quarantined_ms(self._quarantine.seconds_left(identity))
+        return SuspectAdmission(Reason.QUARANTINED, retry_after_ms=remaining_ms)
 
     def _admission_without_isolation(self, identity: Identity) -> SuspectAdmission | None:
         """Return the decision for a clear or quarantined request; None if it needs isolation."""
@@ -161,7 +161,7 @@
     def release(self, identity: Identity, occupied_seconds: float) -> None:
         """Release the isolation slot and wake the waiting copies.
 
-        The caller records the run's result without yielding to other greenlets, because the copies
+        The caller must record the run's result before it yields to other greenlets, because the copies
         read it when they resume.
         """
         self._slot.release(occupied_seconds)
--- a/src/cranklane/sidecar/quarantine/anti_entropy.py
+++ b/src/cranklane/sidecar/quarantine/anti_entropy.py
@@ -80,7 +80,7 @@
         self._catching_up = True
         rounds = 0
         while rounds < CATCH_UP_ROUNDS:
-            if self._directory.of():
+            if self._directory.list_peers():
                 rounds += 1
                 if self._sync_with_peers():
                     break
@@ -93,7 +93,7 @@
 
         Present peers come first. Queries the next peer after the hedge delay without a response.
         """
-        peers = self._directory.of()
+        peers = self._directory.list_peers()
         self._runtime.random.shuffle(peers)
         peers.sort(key=lambda peer: peer.absent_since is not None)
         tasks = []
--- a/src/cranklane/sidecar/quarantine/gossip.py
+++ b/src/cranklane/sidecar/quarantine/gossip.py
@@ -74,10 +74,10 @@
         fleet_entries = [entry for entry in entries if _is_fleet_wide(entry)]
         service_entries = [entry for entry in entries if not _is_fleet_wide(entry)]
         if fleet_entries:
-            self._send("", fleet_entries, self._directory.of())
+            self._send("", fleet_entries, self._directory.list_peers())
         if service_entries:
             service = self._service()
-            self._send(service, service_entries, self._directory.of(service))
+            self._send(service, service_entries, self._directory.list_peers(service))
 
     def _send(self, service: str, entries: list[QuarantineEntry], peers: list[PeerSidecar]) -> None:
         """Send entries to peers, divided into at most ``FAN_OUT`` shares.
@@ -113,7 +113,7 @@
         if update.relay_to > self._node_name:
             peers = [
                 peer
-                for peer in self._directory.of(update.service)
+                for peer in self._directory.list_peers(update.service)
                 if self._node_name < peer.node <= update.relay_to
             ]
             self._send(update.service, update.entries, peers)
--- a/src/cranklane/sidecar/quarantine/sidecar_directory.py
+++ b/src/cranklane/sidecar/quarantine/sidecar_directory.py
@@ -66,7 +66,7 @@
         elif peer is not None and peer.absent_since is None:
             peer.absent_since = now
 
-    def of(self, service: str = "") -> list[PeerSidecar]:
+    def list_peers(self, service: str = "") -> list[PeerSidecar]:
         """Return the peers of a service, or all peers, sorted by node name."""
         peers = [entry for entry in self._by_node.values() if service in ("", entry.service)]
         return sorted(peers, key=lambda entry: entry.node)
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -185,7 +185,7 @@
         machine.process, machine.sidecar = mesh.start_sidecar(
             machine.name, machine.service, machine.zone, machine.host
         )
-        assert mesh.wait_for(lambda: len(machine.sidecar.directory.of()) > 0, 10.0)
+        assert mesh.wait_for(lambda: len(machine.sidecar.directory.list_peers()) > 0, 10.0)
         gevent.sleep(0.2)
         return has_quarantined(machine), len(crashing.crashes)
 
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -135,7 +135,7 @@
 
 
 def node_names(directory, service=""):
-    return [peer.node for peer in directory.of(service)]
+    return [peer.node for peer in directory.list_peers(service)]
 
 
 def test_sidecar_with_worker_down_is_retained_temporarily(directory):
