--- a/src/cranklane/sidecar/admission/isolated_runs.py
+++ b/src/cranklane/sidecar/admission/isolated_runs.py
@@ -161,8 +161,8 @@
     def release(self, identity: Identity, occupied_seconds: float) -> None:
         """Release the isolation slot and wake the waiting copies.
 
-        The caller must record the run's result before it yields to other greenlets, because the copies
-        read it when they resume.
+        The caller must record the run's result before it yields to other greenlets, because the
+        copies read it when they resume.
         """
         self._slot.release(occupied_seconds)
         self._signal_run_ended(identity)
