--- a/src/cranklane/sidecar/admission/tenant_quota.py
+++ b/src/cranklane/sidecar/admission/tenant_quota.py
@@ -23,7 +23,7 @@
 from cranklane.sidecar.admission.fraction_sampler import FractionSampler
 from cranklane.sidecar.admission.retry_after import ADMITTED_ALL_PERMILLE
 
-UPDATE_SECONDS = 1.2
+UPDATE_TTL_SECONDS = 1.2
 """Age at which control's last update expires: two heartbeat intervals, to tolerate a late one."""
 
 OWN_SHARE_BURST = 3.0
@@ -99,7 +99,7 @@
         account = self._account(tenant.name)
         account.offered += 1
         self.used.set()
-        if self._clock() - self._updated_at <= UPDATE_SECONDS:
+        if self._clock() - self._updated_at <= UPDATE_TTL_SECONDS:
             admitted = self._within_fraction(account)
         else:
             admitted = self._within_local_share(account, tenant)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -15,7 +15,7 @@
 import test_tenants
 from cranklane.controller import confirmation
 from cranklane.runtime.real import RealRuntime
-from cranklane.sidecar.admission.tenant_quota import UPDATE_SECONDS
+from cranklane.sidecar.admission.tenant_quota import UPDATE_TTL_SECONDS
 from cranklane_lab.simulation.process import SimulatedProcess
 from mesh_support import play, runs
 
@@ -132,7 +132,7 @@
     suspend(machine)
     gevent.sleep(AWAY_SECONDS)
     quota = machine.sidecar.quota
-    return quota._clock() - quota._updated_at <= UPDATE_SECONDS
+    return quota._clock() - quota._updated_at <= UPDATE_TTL_SECONDS
 
 
 def test_a_sidecar_that_was_suspended_does_not_follow_old_shares():
