--- a/src/cranklane/sidecar/admission/tenant_quota.py
+++ b/src/cranklane/sidecar/admission/tenant_quota.py
@@ -26,7 +26,7 @@
 UPDATE_TTL_SECONDS = 1.2
 """Age at which control's last update expires: two heartbeat intervals, to tolerate a late one."""
 
-OWN_SHARE_BURST = 3.0
+LOCAL_SHARE_BURST = 3.0
 """Token bucket capacity per tenant in the fallback, in requests."""
 
 
@@ -46,7 +46,7 @@
     sampler: FractionSampler
     filled_at: float
     permille: int = ADMITTED_ALL_PERMILLE
-    tokens: float = OWN_SHARE_BURST
+    tokens: float = LOCAL_SHARE_BURST
     offered: int = 0
     admitted: int = 0
     returned: int = 0
@@ -127,7 +127,7 @@
     def _within_local_share(self, account: _Account, tenant: Tenant) -> bool:
         now = self._clock()
         rate = tenant.rate_per_second / max(1, self._fleet_size())
-        account.tokens = min(OWN_SHARE_BURST, account.tokens + (now - account.filled_at) * rate)
+        account.tokens = min(LOCAL_SHARE_BURST, account.tokens + (now - account.filled_at) * rate)
         account.filled_at = now
         if account.tokens < 1:
             return False
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -20,7 +20,7 @@
 from cranklane.routes.table import RouteTable
 from cranklane.routes.tenants import Tenant
 from cranklane.sidecar.admission import tenant_quota
-from cranklane.sidecar.admission.tenant_quota import OWN_SHARE_BURST, TenantQuota
+from cranklane.sidecar.admission.tenant_quota import LOCAL_SHARE_BURST, TenantQuota
 from cranklane.sidecar.table import table_lease
 from cranklane.sidecar.table.table_lease import TableLease
 from cranklane_lab.simulation.mesh import Mesh, route_table
@@ -487,4 +487,4 @@
 def test_a_sidecar_that_was_just_started_lets_in_its_own_share():
     quota = TenantQuota(lambda: 5.0, Random(1), lambda: 71)
     tenant = Tenant("a", 0, 10, 10)
-    assert sum(quota.admits(tenant) for _ in range(10)) == OWN_SHARE_BURST
+    assert sum(quota.admits(tenant) for _ in range(10)) == LOCAL_SHARE_BURST
