--- a/src/cranklane/sidecar/quarantine/table.py
+++ b/src/cranklane/sidecar/quarantine/table.py
@@ -172,7 +172,7 @@
 
     # Reports from other sidecars.
 
-    def learn(self, service: str, identity: Identity, seconds: float) -> None:
+    def record_refusal(self, service: str, identity: Identity, seconds: float) -> None:
         """Record a quarantine from a gate's refusal.
 
         :param seconds: remaining time of the quarantine.
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -197,7 +197,7 @@
         if of_quarantine and reply.retry_after_ms:
             # The sender's own copy of the table may be behind.
             seconds = reply.retry_after_ms / MILLISECONDS
-            self._quarantine.learn(call.service, call.identity(), seconds)
+            self._quarantine.record_refusal(call.service, call.identity(), seconds)
         progress.note_suspicion(destination.node, reply.reason)
 
     def _request(self, progress: CallProgress, now: float) -> ForwardRequest:
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -173,7 +173,7 @@
     sidecar.crash("two", (CRASHING, 1))
     for _ in range(10):
         seconds_left = sidecar.table.seconds_left(CRASHING)
-        sidecar.table.learn("s", CRASHING, seconds_left)
+        sidecar.table.record_refusal("s", CRASHING, seconds_left)
         clock.now += 0.4
     clock.now += FIRST_QUARANTINE_SECONDS - 4.0
     assert sidecar.table.state(CRASHING) is QuarantineState.ON_PROBATION
