--- a/src/cranklane/sidecar/admission/tenant_quota.py
+++ b/src/cranklane/sidecar/admission/tenant_quota.py
@@ -57,7 +57,7 @@
 
     :param clock: monotonic seconds.
     :param fleet_size: returns the number of sidecars.
-    :ivar used: set while there is usage to report.
+    :ivar usage_pending: set while there is usage to report.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._fleet_size = fleet_size
         self._accounts: dict[str, _Account] = {}
         self._updated_at = -math.inf
-        self.used = Event()
+        self.usage_pending = Event()
 
     # Updates from control.
 
@@ -98,7 +98,7 @@
             return True
         account = self._account(tenant.name)
         account.offered += 1
-        self.used.set()
+        self.usage_pending.set()
         if self._clock() - self._updated_at <= UPDATE_TTL_SECONDS:
             admitted = self._within_fraction(account)
         else:
@@ -111,7 +111,7 @@
         account = self._accounts.get(tenant)
         if account is not None:
             account.returned += 1
-            self.used.set()
+            self.usage_pending.set()
 
     def permille(self, tenant: str) -> int:
         """Return the admitted fraction of a tenant's requests, in thousandths."""
@@ -144,7 +144,7 @@
 
     def take_usage(self) -> list[TenantUsage]:
         """Return the usage since the last call, for the report to control, and reset it."""
-        self.used.clear()
+        self.usage_pending.clear()
         usage = []
         for name, account in self._accounts.items():
             if account.offered or account.returned:
--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -109,7 +109,7 @@
         """Report tenants' usage whenever there is any; never returns."""
         quota = self._state.quota
         while True:
-            quota.used.wait()
+            quota.usage_pending.wait()
             gevent.sleep(USAGE_GATHER_SECONDS)
             self.subscription.send(self._usage)
 
