--- a/src/cranklane/sidecar/quarantine/anti_entropy.py
+++ b/src/cranklane/sidecar/quarantine/anti_entropy.py
@@ -17,7 +17,7 @@
 from cranklane.sidecar.quarantine.table import Quarantine
 
 COMPARE_INTERVAL_SECONDS = 2.0
-"""Interval of periodic synchronization; bounds the delay after a network partition heals."""
+"""Interval of periodic synchronization, and the typical delay after a network partition heals."""
 
 MAX_PEERS_PER_ROUND = 3
 """Peers queried in one round, until one responds."""
