--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -23,12 +23,12 @@
 from cranklane.distribution.node_service import NodeService
 from cranklane.distribution.publisher import SILENT_SECONDS
 from cranklane.records.messages import Hello
+from cranklane.replication.group_bootstrap import GroupBootstrap
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
-from cranklane.replication.port import ReplicaPort
+from cranklane.replication.port_dispatcher import PortDispatcher
 from cranklane.replication.replica import Replica
-from cranklane.replication.self_assembly import SelfAssembly
-from cranklane.replication.state import ReplicaIdentity
+from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
     ADDRESS,
@@ -107,14 +107,14 @@
         voters = 2 * settings.tolerated_losses + 1
         self.changes = MembershipChange(self.replica, voters)
         peers = PeerService(self.replica, self.changes.join)
-        self._port = ReplicaPort(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
         self.editor = RouteEditor(self.store, self.replica, voters)
 
     def _make_replica(self) -> Replica:
         settings = self.settings
         # An address belongs to one machine at a time, so it names a replica.
         address = settings.advertise or settings.listen
-        identity = ReplicaIdentity(GROUP, address, address, settings.http)
+        identity = ReplicaInfo(GROUP, address, address, settings.http)
         storage = self.runtime.storage(settings.data)
         return Replica(self.runtime, storage, self.store, identity, self._applied, self._log)
 
@@ -145,7 +145,7 @@
             metrics = MetricsServer(self._registry().text)
             serve = SmallHttp(self.runtime, metrics.handle).accept
             self.runtime.listen(parse_address(settings.metrics), serve)
-        assembly = SelfAssembly(self.replica, self._seeds, settings.first_start)
+        assembly = GroupBootstrap(self.replica, self._seeds, settings.first_start)
         self.runtime.spawn(assembly.run)
         self._nodes.serve_sidecars(self._sidecars)
         self.runtime.spawn(self._confirmation.run)
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -20,9 +20,9 @@
 from cranklane.replication.joining import Joining
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
-from cranklane.replication.port import ReplicaPort
+from cranklane.replication.port_dispatcher import PortDispatcher
 from cranklane.replication.replica import Replica
-from cranklane.replication.state import ReplicaIdentity
+from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
     ADDRESS,
@@ -73,14 +73,14 @@
             runtime,
             runtime.storage(settings.data),
             self.store,
-            ReplicaIdentity(f"ledger/{settings.group}", settings.name, settings.listen),
+            ReplicaInfo(f"ledger/{settings.group}", settings.name, settings.listen),
             lambda: None,
             self._log,
         )
         changes = MembershipChange(self.replica)
         self.service = LedgerService(runtime, self.replica)
         peers = PeerService(self.replica, changes.join)
-        self._port = ReplicaPort(peers, self._hello, self.service.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._hello, self.service.serve, SILENT_SECONDS)
 
     def start(self) -> None:
         """Restore the last state, open the port, find the group and control."""
--- a/src/cranklane/sidecar/quarantine/sidecar_directory.py
+++ b/src/cranklane/sidecar/quarantine/sidecar_directory.py
@@ -60,7 +60,7 @@
 
     def _apply(self, member: Member, now: float) -> None:
         peer = self._by_node.get(member.node)
-        if MemberState(member.state).is_there:
+        if MemberState(member.state).is_present:
             address = parse_address(member.address)
             self._by_node[member.node] = PeerSidecar(member.node, member.service, address)
         elif peer is not None and peer.absent_since is None:
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -194,8 +194,8 @@
 
 def _subscribers_kept() -> list[Replacement]:
     return [
-        Replacement(Publisher, "send_away", lambda _self, *_limits: 0),
-        Replacement(Subscription, "newer_seen", lambda _self: None),
+        Replacement(Publisher, "end_subscriptions", lambda _self, *_limits: 0),
+        Replacement(Subscription, "on_newer_version", lambda _self: None),
     ]
 
 
@@ -205,7 +205,7 @@
 
 def _identity_by_name() -> list[Replacement]:
     def identity(self: Replica) -> int:
-        return zlib.crc32(self.own.name.encode()) | 1
+        return zlib.crc32(self.info.name.encode()) | 1
 
     return [Replacement(Replica, "identity", property(identity))]
 
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -22,7 +22,7 @@
 import test_worker_condition
 from cranklane.controller.route_store import RouteTableStore
 from cranklane.controller.row_changes import RowChanges
-from cranklane.distribution.shared_frames import NewestFrames
+from cranklane.distribution.shared_frames import SharedFrameCache
 from cranklane.outcome import Outcome
 from cranklane.replication import voting
 from cranklane.replication.election import Election
@@ -206,10 +206,10 @@
         lambda: test_subsets.test_a_subset_in_trouble_is_widened("loaded"),
     ),
     "frames made once": (
-        NewestFrames,
+        SharedFrameCache,
         "get",
         lambda self, span, make: make(),
-        test_publisher_frames.test_frames_of_an_older_state_are_made_anew,
+        test_publisher_frames.test_frames_of_an_older_position_are_encoded_again,
     ),
     "comparison of times": (
         cost,
@@ -238,7 +238,7 @@
     "early vote for the former leader": (
         voting,
         "may_support_a_lease",
-        lambda voter, request: voter.leads or voter.timer_fresh,
+        lambda voter, request: voter.leads or voter.timer_restarted_recently,
         lambda: test_controllers.test_after_all_were_killed_the_former_leader_leads_at_once(
             1, True
         ),
