--- a/src/cranklane/sidecar/routing/__init__.py
+++ b/src/cranklane/sidecar/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Chooses a worker for a request, sends it there and decides on retries."""
+"""Worker selection, request forwarding between sidecars, retries and outlier ejection."""
--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -1,8 +1,7 @@
-"""One worker behind its sidecar, and what this process knows of it.
+"""State of one destination: a worker, reached through its sidecar.
 
-Owns the state of one destination: its load as last reported and as counted from here, lack of
-capacity, condition, ejection, and whether it is still there. What these lead to is decided
-in ``cost`` and ``ejection``.
+Holds its load, saturation, condition, ejection and membership. The rules that use this state
+are in ``cost`` and ``ejection``.
 """
 
 from __future__ import annotations
@@ -17,37 +16,34 @@
 from cranklane.sidecar.worker.slowness import Slowness
 
 SATURATED_SECONDS = 0.02
-"""Seconds for which a destination that refused for lack of capacity gets no request of the same
-or less importance. Under overload most requests would be sent only to be refused: without it
-over 700 of the 1,000 requests of
-``test_under_overload_few_requests_are_sent_only_to_be_refused`` were. The value is a choice:
-short against a run, so that a slot that is released is soon used."""
+"""Seconds for which a destination gets no requests of equal or lower priority after it refused
+one for lack of capacity. Shorter than a typical run, so that freed slots are soon used."""
 
-UNCONFIRMED_SECONDS = 10.0
-"""Seconds for which a destination is kept that control leaves out of a whole list, or reports as
-silent; each answer of its own starts them anew. A choice: longer than control takes to start
-and hear of everybody, and than the cut that made all others forget six of 18 sidecars that
-they could reach."""
+UNCONFIRMED_EXPIRY_SECONDS = 10.0
+"""Seconds before a destination expires that control omits from a full list or reports as
+silent; each answer from it restarts them. Longer than a restarted control process takes to
+learn of all members, and than a brief partition between control and reachable sidecars."""
 
 
 @dataclass(slots=True, eq=False)
 class Destination:
-    """One worker and what this process knows of it. Times are monotonic seconds.
-
-    :ivar reported: requests running or waiting there, by its newest answer.
-    :ivar opened_since: requests sent there from here since that answer.
-    :ivar in_flight: requests sent there from here without an answer yet.
-    :ivar condition: its own sidecar's judgement on the worker, as last received with an answer
-        or from control, at ``condition_at``.
-    :ivar condition_by_control: the last one that control has passed on.
-    :ivar slowness: how the run times seen from here compare with the expected latency.
-    :ivar failures: failures in a row.
-    :ivar ejected_until: it gets no requests before that, unless all others are ejected too.
-    :ivar saturated_until: it is taken to be at capacity until then, for requests of
-        ``saturated_priority`` and less important ones.
-    :ivar confirmed_at: since when only its own answers confirm that it is there, or the last of
-        them; None while control confirms it.
-    :ivar removed: whether it is a destination no more.
+    """A worker as seen from this sidecar. Times are monotonic seconds.
+
+    :ivar reported_requests: requests running or queued at the worker, as last reported.
+    :ivar sent_since_report: requests in flight that this sidecar sent after that report.
+    :ivar in_flight: requests in flight that this sidecar sent.
+    :ivar condition: worker condition as judged by the worker's sidecar, received at
+        ``condition_at`` with a reply or from control.
+    :ivar control_condition: condition last received from control.
+    :ivar slowness: ratio of run times observed by this sidecar to the expected latency.
+    :ivar consecutive_failures: failures since the last answer or successful connection.
+    :ivar ejected_until: end of the ejection; an ejected destination gets requests only if all
+        candidates are ejected.
+    :ivar saturated_until: end of the saturation, which applies to requests of
+        ``saturated_priority`` and lower priorities.
+    :ivar confirmed_at: None while control lists the destination; otherwise the time at which
+        control stopped listing it, or of the last answer after that.
+    :ivar removed: True once the destination has been removed from ``Destinations``.
     """
 
     node: str
@@ -59,98 +55,99 @@
     instance: str
     state: MemberState
     slots: int
-    reported: int = 0
-    opened_since: int = 0
+    reported_requests: int = 0
+    sent_since_report: int = 0
     in_flight: int = 0
     condition: Condition = WELL
     condition_at: float = 0.0
-    condition_by_control: Condition = WELL
+    control_condition: Condition = WELL
     slowness: Slowness = field(default_factory=Slowness)
-    failures: int = 0
+    consecutive_failures: int = 0
     ejected_until: float = 0.0
     saturated_until: float = 0.0
     saturated_priority: int = 0
     confirmed_at: float | None = None
     removed: bool = False
 
-    # Load.
-
     def load(self) -> float:
-        """Return the estimated requests there for each of its slots."""
-        return max(self.in_flight, self.reported + self.opened_since) / max(1, self.slots)
+        """Return the estimated number of requests per slot."""
+        return max(self.in_flight, self.reported_requests + self.sent_since_report) / max(
+            1, self.slots
+        )
 
     def opened(self) -> None:
-        """Count a request sent there."""
+        """Count a request sent to the destination."""
         self.in_flight += 1
-        self.opened_since += 1
+        self.sent_since_report += 1
 
     def closed(self) -> None:
-        """Count a request that has ended."""
+        """Remove a finished request from the counts."""
         self.in_flight -= 1
-        self.opened_since = max(0, self.opened_since - 1)
+        self.sent_since_report = max(0, self.sent_since_report - 1)
 
     def answered(self, now: float, load: Load) -> None:
-        """Take an answer of the worker."""
-        self.failures = 0
+        """Record an answer of the worker and the load reported with it."""
+        self.consecutive_failures = 0
         if self.confirmed_at is not None:
             self.confirmed_at = now
-        self.take_load(now, load)
+        self.update_load(now, load)
 
-    def take_load(self, now: float, load: Load) -> None:
-        """Take the load that its sidecar reports; one without slots says nothing."""
+    def update_load(self, now: float, load: Load) -> None:
+        """Set the load and condition reported by the sidecar; ignored if it has no slots."""
         if load.slots:
             self.take_condition(now, load.condition)
             self.slots = load.slots
-            self.reported = load.running + load.queued
-            self.opened_since = 0
+            self.reported_requests = load.running + load.queued
+            self.sent_since_report = 0
 
     def take_condition(self, now: float, condition: Condition) -> None:
-        """Take its own sidecar's judgement on the worker."""
+        """Set the worker condition as judged by the worker's sidecar."""
         self.condition = condition
         self.condition_at = now
 
-    def take_control_condition(self, now: float, condition: Condition) -> None:
-        """Take a judgement from control, unless it is the one that control passed on before."""
-        if condition != self.condition_by_control:
-            self.condition_by_control = condition
-            self.take_condition(now, condition)
+    def update_control_condition(self, now: float, condition: Condition) -> None:
+        """Set the condition received from control; a repeated value is ignored.
 
-    # Lack of capacity.
+        A repetition is no new observation, so it must not reset ``condition_at``.
+        """
+        if condition != self.control_condition:
+            self.control_condition = condition
+            self.take_condition(now, condition)
 
-    def refused_at_capacity(self, now: float, priority: int) -> None:
-        """Take that it had no capacity for a request.
+    def record_capacity_refusal(self, now: float, priority: int) -> None:
+        """Mark the destination as saturated after it refused a request for lack of capacity.
 
-        :param priority: of the root request; 0 is the most important.
+        :param priority: priority of the root request; 0 is the highest.
         """
-        known = self.saturated_until > now
-        self.saturated_priority = min(self.saturated_priority, priority) if known else priority
+        already_saturated = self.saturated_until > now
+        self.saturated_priority = (
+            min(self.saturated_priority, priority) if already_saturated else priority
+        )
         self.saturated_until = now + SATURATED_SECONDS
 
     def is_saturated(self, now: float, priority: int) -> bool:
-        """Return whether it lately had no capacity for requests as important or more."""
+        """Return whether it recently refused a request of this or a higher priority."""
         return self.saturated_until > now and priority >= self.saturated_priority
 
-    # Ejection.
-
     def failed(self, now: float, failure: Failure) -> None:
-        """Count a failure, and eject it where the rules say so."""
-        self.failures += 1
-        seconds = ejection_seconds(failure, self.failures)
+        """Count a failure and eject the destination if ``ejection_seconds`` requires it."""
+        self.consecutive_failures += 1
+        seconds = ejection_seconds(failure, self.consecutive_failures)
         if seconds:
             self.ejected_until = now + seconds
 
-    def reachable(self) -> None:
-        """Take that a connection to it has succeeded."""
-        self.failures = 0
+    def mark_reachable(self) -> None:
+        """End the ejection after a connection has succeeded."""
+        self.consecutive_failures = 0
         self.ejected_until = 0.0
 
-    # Whether it is there.
-
-    def unconfirmed(self, now: float) -> None:
-        """Take that control does not confirm any more that it is there."""
+    def mark_unconfirmed(self, now: float) -> None:
+        """Start the expiry of a destination that control no longer lists as present."""
         if self.confirmed_at is None:
             self.confirmed_at = now
 
     def is_expired(self, now: float) -> bool:
-        """Return whether nothing has confirmed for too long that it is there."""
-        return self.confirmed_at is not None and now - self.confirmed_at > UNCONFIRMED_SECONDS
+        """Return whether neither control nor an answer has confirmed it for too long."""
+        return (
+            self.confirmed_at is not None and now - self.confirmed_at > UNCONFIRMED_EXPIRY_SECONDS
+        )
--- a/src/cranklane/sidecar/routing/destinations.py
+++ b/src/cranklane/sidecar/routing/destinations.py
@@ -1,7 +1,7 @@
-"""The workers of every service, each behind its own sidecar: who is there.
+"""Registry of the destinations of each service.
 
-Owns the list of destinations, kept current by control's updates and, for this machine's own
-worker, by its sidecar. Which of them gets a request is decided in ``worker_choice``.
+Updated from control's member updates and, for the local worker, by this sidecar.
+``worker_choice`` selects the destination for a request.
 """
 
 from __future__ import annotations
@@ -19,97 +19,100 @@
 
 
 class Destinations:
-    """The workers of every service.
+    """Destinations by node and by service.
 
-    :param clock: monotonic seconds.
-    :param own: name of this machine's node; its worker is stated by :meth:`set_own`, not by
-        control.
+    :param clock: returns monotonic time in seconds.
+    :param node_name: name of the local node; its worker is set with :meth:`set_own`, and
+        updates of it from control are ignored.
     """
 
-    def __init__(self, clock: Callable[[], float], own: str) -> None:
+    def __init__(self, clock: Callable[[], float], node_name: str) -> None:
         self._clock = clock
-        self._own = own
+        self._node_name = node_name
         self._by_node: dict[str, Destination] = {}
-        # A list is replaced when it changes, never altered: see members().
+        # Lists are replaced, never modified: callers of members() compare them by identity.
         self._by_service: dict[str, list[Destination]] = {}
         self._updated = Event()
-        self._max_known = 0
+        self._max_size = 0
         self._grown_at = clock()
 
     def apply(self, delta: MemberDelta) -> None:
-        """Take an update of the members from control."""
+        """Apply a member update from control and wake the callers of ``wait_for_update``."""
         if delta.whole:
-            self._take_whole({member.node for member in delta.members})
+            self._apply_full_list({member.node for member in delta.members})
         for member in delta.members:
-            if member.node != self._own:
+            if member.node != self._node_name:
                 self._apply(member)
         self.drop_expired()
         self._updated.set()
         self._updated.clear()
 
     def wait_for_update(self, seconds: float) -> bool:
-        """Wait for the next update of the members; return whether it came in time.
+        """Wait for the next member update; return False on timeout.
 
-        :param seconds: to wait at most.
+        :param seconds: timeout.
         """
         return bool(self._updated.wait(seconds))
 
-    def _take_whole(self, named: set[str]) -> None:
-        """Take a whole list: those it leaves out stay for a while.
+    def _apply_full_list(self, listed_nodes: set[str]) -> None:
+        """Apply the node names of a full list; omitted destinations expire after a delay.
 
-        A control process that has just started knows few members; the first request to one
-        that is gone finds out.
+        The delay is needed as a control process that has just started knows few members.
         """
         now = self._clock()
-        for node, known in self._by_node.items():
-            if node in named or node == self._own:
-                known.confirmed_at = None
+        for node, destination in self._by_node.items():
+            if node in listed_nodes or node == self._node_name:
+                destination.confirmed_at = None
             else:
-                known.unconfirmed(now)
+                destination.mark_unconfirmed(now)
 
     def drop_expired(self) -> None:
-        """Remove those that nothing has confirmed for too long."""
+        """Remove the destinations whose confirmation has expired."""
         now = self._clock()
-        for node, known in list(self._by_node.items()):
-            if known.is_expired(now):
+        for node, destination in list(self._by_node.items()):
+            if destination.is_expired(now):
                 self._remove(node)
 
     def set_own(self, member: Member) -> None:
-        """Take the state of the worker beside this process."""
+        """Set the state of the local worker."""
         self._apply(member)
 
     def _apply(self, member: Member) -> None:
-        known = self._by_node.get(member.node)
-        if known is not None:
-            order = (known.incarnation, known.sequence)
+        existing = self._by_node.get(member.node)
+        if existing is not None:
+            order = (existing.incarnation, existing.sequence)
             if (member.incarnation, member.sequence) < order:
                 return
         if member.state == MemberState.SILENT:
-            if known is not None:
-                known.sequence = member.sequence
-                known.unconfirmed(self._clock())
+            if existing is not None:
+                existing.sequence = member.sequence
+                existing.mark_unconfirmed(self._clock())
             return
         if member.state == MemberState.GONE or not member.service:
             self._remove(member.node)
             return
-        same = known is not None and (known.service, known.address, known.instance) == (
+        same_instance = existing is not None and (
+            existing.service,
+            existing.address,
+            existing.instance,
+        ) == (
             member.service,
             parse_address(member.address),
             member.instance,
         )
-        if known is None or not same:
+        if existing is None or not same_instance:
             self._remove(member.node)
             self._add(member)
             return
-        known.confirmed_at = None
-        known.incarnation = member.incarnation
-        known.sequence = member.sequence
-        known.state = MemberState(member.state)
-        known.slots = member.slots
-        known.take_control_condition(self._clock(), _condition_of(member))
+        existing.confirmed_at = None
+        existing.incarnation = member.incarnation
+        existing.sequence = member.sequence
+        existing.state = MemberState(member.state)
+        existing.slots = member.slots
+        existing.update_control_condition(self._clock(), _condition_of(member))
 
     def _add(self, member: Member) -> None:
-        added = Destination(
+        destination = Destination(
             node=member.node,
             incarnation=member.incarnation,
             sequence=member.sequence,
@@ -120,32 +123,34 @@
             state=MemberState(member.state),
             slots=member.slots,
         )
-        added.take_control_condition(self._clock(), _condition_of(member))
-        self._by_node[member.node] = added
-        self._by_service[member.service] = [*self._by_service.get(member.service, ()), added]
-        if len(self._by_node) > self._max_known:
-            self._max_known = len(self._by_node)
+        destination.update_control_condition(self._clock(), _condition_of(member))
+        self._by_node[member.node] = destination
+        self._by_service[member.service] = [*self._by_service.get(member.service, ()), destination]
+        if len(self._by_node) > self._max_size:
+            self._max_size = len(self._by_node)
             self._grown_at = self._clock()
 
     def _remove(self, node: str) -> None:
-        known = self._by_node.pop(node, None)
-        if known is not None:
-            known.removed = True
-            others = [item for item in self._by_service[known.service] if item is not known]
-            self._by_service[known.service] = others
+        removed = self._by_node.pop(node, None)
+        if removed is not None:
+            removed.removed = True
+            remaining = [
+                worker for worker in self._by_service[removed.service] if worker is not removed
+            ]
+            self._by_service[removed.service] = remaining
 
     def members(self, service: str) -> Sequence[Destination]:
-        """Return the workers of a service; another object whenever one has come or gone."""
+        """Return the workers of a service; a new object after each addition or removal."""
         return self._by_service.get(service, ())
 
     def fleet_size(self) -> FleetSize:
-        """Return how many sidecars are known, this one included."""
-        own_missing = self._own not in self._by_node
+        """Return the number of known sidecars, including this one."""
+        own_missing = self._node_name not in self._by_node
         return FleetSize(len(self._by_node) + own_missing, self._grown_at)
 
     def count(self, service: str) -> int:
-        """Return how many live workers a service has."""
-        return sum(item.state is MemberState.LIVE for item in self._by_service.get(service, ()))
+        """Return the number of live workers of a service."""
+        return sum(worker.state is MemberState.LIVE for worker in self._by_service.get(service, ()))
 
 
 def _condition_of(member: Member) -> Condition:
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -1,8 +1,7 @@
-"""Has a request run: asks one worker after the other until the retry policy ends it.
+"""Dispatches a request to a worker and retries it at others as the retry policy allows.
 
-Owns the order of the steps for one request. Relies on ``worker_choice`` for the choice of a
-worker, ``waiting`` for how long it may wait, ``retry_policy`` and ``retry_budget`` for whether
-another one is asked, and ``feedback`` for what a reply says of its destination.
+``worker_choice`` selects the worker, ``waiting`` limits waiting times, ``retry_policy`` and
+``retry_budget`` decide on retries, and ``feedback`` updates the destination after each reply.
 """
 
 from __future__ import annotations
@@ -31,17 +30,17 @@
 from cranklane.sidecar.routing.worker_choice import WorkerChoice
 
 _ANSWERED = Verdict.ANSWERED
-"""The usual verdict, looked up once: in Python 3.11 an enum's attribute takes 0.2 us."""
+"""Cached because enum attribute lookup is slow and this is the most frequent verdict."""
 
 
 class DispatcherParts(NamedTuple):
-    """What a dispatcher works with.
+    """Dependencies of a dispatcher.
 
-    :ivar gate: admits requests to the worker of this machine.
+    :ivar gate: admits requests to the local worker.
     :ivar peers: sends requests to other sidecars.
-    :ivar quarantine: what is known of requests that crash workers.
-    :ivar on_attempt: called after each attempt, with the seconds it took.
-    :ivar on_quarantined: called for each quarantined request, with the seconds left.
+    :ivar quarantine: table of requests suspected of crashing workers.
+    :ivar on_attempt: called after each attempt, with its duration in seconds.
+    :ivar on_quarantined: called for each quarantined request, with the remaining seconds.
     """
 
     destinations: Destinations
@@ -55,13 +54,15 @@
 
 
 class Dispatcher:
-    """Runs requests at the workers of their services.
+    """Dispatches requests to the workers of their services.
 
-    :param own: name of this machine's node.
-    :param caller: service of this machine.
+    :param node_name: name of the local node.
+    :param caller: service of the local worker, sent to other sidecars as the caller.
     """
 
-    def __init__(self, runtime: Runtime, parts: DispatcherParts, own: str, caller: str) -> None:
+    def __init__(
+        self, runtime: Runtime, parts: DispatcherParts, node_name: str, caller: str
+    ) -> None:
         self._runtime = runtime
         self._destinations = parts.destinations
         self._choice = parts.choice
@@ -70,18 +71,17 @@
         self._feedback = DestinationFeedback(runtime, parts.destinations, parts.peers)
         self._latencies = self._feedback.latencies
         self._budget = parts.budget
-        self._own = own
+        self._node_name = node_name
         self._caller = caller
         self._quarantine = parts.quarantine
         self._on_attempt = parts.on_attempt
         self._on_quarantined = parts.on_quarantined
 
     def run(self, progress: CallProgress) -> Reply:
-        """Return the answer of a worker, or why there is none.
+        """Return the answer of a worker, or the reply that states why there is none.
 
-        The newest reply is the result, with two exceptions: an answer, even one of an error,
-        is kept until a worker gives another answer; and a refusal after an attempt that may
-        have run is UNKNOWN.
+        The result is the last answer, including error answers; without any, it is the last
+        reply. A refusal becomes UNKNOWN if an earlier attempt may have run.
         """
         call = progress.call
         if call.root.is_retry:
@@ -97,7 +97,7 @@
             destination = self._choose(progress)
             if destination is None:
                 if progress.tried:
-                    # Nobody is left to ask.
+                    # All candidates have been tried.
                     break
                 if self._choice.all_saturated(call.service, call.root.priority):
                     result = refusal(Reason.QUEUE_FULL, retry_after_ms=retry_after.DEFAULT_MS)
@@ -126,22 +126,24 @@
         return self._choice.choose(call.service, progress.tried, call.root.priority)
 
     def _wait_for_first_member(self, progress: CallProgress) -> bool:
-        """Wait for an update of the members; return whether to choose again."""
-        left = waiting.first_member_wait(progress.call, self._runtime.monotonic())
-        return left > 0 and not progress.cancelled and self._destinations.wait_for_update(left)
-
-    # Retries.
+        """Wait for a member update; return whether to choose again."""
+        remaining = waiting.first_member_wait(progress.call, self._runtime.monotonic())
+        return (
+            remaining > 0
+            and not progress.cancelled
+            and self._destinations.wait_for_update(remaining)
+        )
 
     def _should_retry(self, progress: CallProgress, reply: Reply) -> bool:
-        """Return whether another worker is asked after this reply."""
+        """Return whether to retry at another worker, and charge the retry budget if needed."""
         now = self._runtime.monotonic()
         verdict = retry_policy.decide(progress, reply, now, self._is_quarantined)
         if verdict is _ANSWERED:
             return False
-        refused = not reply.arrived and reply.reason in AT_CAPACITY
-        if refused and verdict not in retry_policy.CALL_IS_OVER:
+        refused_at_capacity = not reply.arrived and reply.reason in AT_CAPACITY
+        if refused_at_capacity and verdict not in retry_policy.CALL_OVER_VERDICTS:
             progress.refusals += 1
-        if verdict is Verdict.QUARANTINED_MEANWHILE:
+        if verdict is Verdict.NEWLY_QUARANTINED:
             self._refuse_quarantined(progress.call)
         if verdict is Verdict.RETRY_FROM_BUDGET:
             return self._budget.take(progress.call.service)
@@ -153,13 +155,11 @@
         return self._quarantine.state(call.identity()) is QuarantineState.QUARANTINED
 
     def _refuse_quarantined(self, call: Call) -> Reply:
-        """Report that a request is quarantined, and return its refusal."""
+        """Report a quarantined request and return its refusal."""
         identity = call.identity()
-        left = self._quarantine.seconds_left(identity)
-        self._on_quarantined(call, identity, left)
-        return refusal(Reason.QUARANTINED, retry_after_ms=retry_after.quarantined_ms(left))
-
-    # One attempt.
+        remaining = self._quarantine.seconds_left(identity)
+        self._on_quarantined(call, identity, remaining)
+        return refusal(Reason.QUARANTINED, retry_after_ms=retry_after.quarantined_ms(remaining))
 
     def _attempt(self, progress: CallProgress, destination: Destination) -> Reply:
         call = progress.call
@@ -171,7 +171,7 @@
             return refusal(Reason.CANCELLED)
         destination.opened()
         try:
-            if destination.node == self._own:
+            if destination.node == self._node_name:
                 reply = self._gate.run(attempt)
             else:
                 reply = self._peers.run(destination.address, attempt)
@@ -184,18 +184,18 @@
             progress.work.add_all(reply.downstream_cost)
         seconds = self._runtime.monotonic() - now
         if reply.outcome is not Outcome.ANSWERED:
-            self._learn_of_suspicion(progress, destination, reply)
+            self._record_suspicion(progress, destination, reply)
         self._feedback.take(call, destination, reply, seconds)
         self._on_attempt(progress, destination, reply, seconds)
         return reply
 
-    def _learn_of_suspicion(
+    def _record_suspicion(
         self, progress: CallProgress, destination: Destination, reply: Reply
     ) -> None:
         call = progress.call
-        of_quarantine = reply.reason in (Reason.QUARANTINED, Reason.WORKER_ENDED)
-        if of_quarantine and reply.retry_after_ms:
-            # The sender's own copy of the table may be behind.
+        quarantine_reply = reply.reason in (Reason.QUARANTINED, Reason.WORKER_ENDED)
+        if quarantine_reply and reply.retry_after_ms:
+            # This sidecar's copy of the quarantine table may be out of date.
             seconds = reply.retry_after_ms / MILLISECONDS
             self._quarantine.learn(call.service, call.identity(), seconds)
         progress.note_suspicion(destination.node, reply.reason)
@@ -204,18 +204,18 @@
         call = progress.call
         route = call.route
         root = call.root
-        left = max(0.0, call.deadline - now)
+        remaining = max(0.0, call.deadline - now)
         expected_latency = self._latencies.of(route.name)
-        start_within = min(left, waiting.max_start_wait(call, expected_latency, now))
+        start_within = min(remaining, waiting.max_start_wait(call, expected_latency, now))
         return ForwardRequest(
-            deadline_ms=int(left * MILLISECONDS),
-            start_within_ms=_milliseconds(start_within),
+            deadline_ms=int(remaining * MILLISECONDS),
+            start_within_ms=_nonnegative_milliseconds(start_within),
             expected_latency_us=int(expected_latency * MICROSECONDS),
             priority=route.priority,
             root_priority=root.priority,
-            root_age_ms=_milliseconds(now - root.began_at),
-            root_objective_ms=_milliseconds(root.objective_at - now),
-            root_deadline_ms=_milliseconds(root.deadline - now),
+            root_age_ms=_nonnegative_milliseconds(now - root.began_at),
+            root_objective_ms=_nonnegative_milliseconds(root.objective_at - now),
+            root_deadline_ms=_nonnegative_milliseconds(root.deadline - now),
             is_retry=root.is_retry or progress.attempts > 0,
             idempotent=route.idempotent,
             bodiless=call.bodiless,
@@ -234,6 +234,6 @@
         )
 
 
-def _milliseconds(seconds: float) -> int:
-    """Return the time left as records carry it, in milliseconds: 0 when it is over."""
+def _nonnegative_milliseconds(seconds: float) -> int:
+    """Convert a remaining time to the whole milliseconds of a record; 0 if it has passed."""
     return max(0, int(seconds * MILLISECONDS))
--- a/src/cranklane/sidecar/routing/ejection.py
+++ b/src/cranklane/sidecar/routing/ejection.py
@@ -1,9 +1,8 @@
-"""Decides when a destination that fails gets no requests for a while.
+"""Rules for the ejection of failing destinations; ``Destination`` holds the state.
 
-Owns the rules and their constants; the state is kept by ``Destination``. Ejection is about
-whether a sidecar and its worker can be used at all. A worker that is only slow, or fails some
-runs, counts as more expensive instead (``cost.py``). ``cranklane.node`` has rules of its own:
-there a member is ejected for failed calls alone, and for longer.
+Ejection applies to destinations whose sidecar or worker is unreachable or repeatedly gives no
+answer. Slow workers and failed runs raise the cost instead (``cost``). ``cranklane.node``
+ejects by separate rules: for failed calls only, and for longer.
 """
 
 from __future__ import annotations
@@ -12,68 +11,65 @@
 
 from cranklane.outcome import Outcome, Reason
 
-EJECTION_SECONDS = 1.0
-"""Seconds of an ejection for each failure in a row. A choice: about what a worker's restart
-takes."""
+EJECTION_SECONDS_PER_FAILURE = 1.0
+"""Ejection time per consecutive failure; about the restart time of a worker."""
 
 MAX_EJECTION_SECONDS = 4.0
-"""Most seconds of one ejection. A choice: a machine that is back is soon used again."""
+"""Upper limit of one ejection, so that a recovered machine is soon used again."""
 
-FAILURES_BEFORE_EJECTION = 3
-"""Failures in a row that eject a destination that can be reached. A choice: one lost answer
-says little of the next."""
+CONSECUTIVE_FAILURES_BEFORE_EJECTION = 3
+"""Consecutive failures after which a ``Failure.COUNTED`` ejects its destination."""
 
-PROBE_SECONDS = 0.5
-"""Seconds between tries to connect to a destination that could not be reached. A choice: twice
-for each ejection of the shortest kind."""
+PROBE_INTERVAL_SECONDS = 0.5
+"""Seconds between connection attempts to a destination whose sidecar is unreachable."""
 
 SIDECAR_UNREACHABLE = (Reason.PEER_UNREACHABLE, Reason.PEER_LOST)
-"""Reasons that say that the other sidecar does not answer."""
+"""Reasons given when the destination's sidecar does not answer."""
 
 WORKER_UNREACHABLE = (Reason.WORKER_UNREACHABLE, Reason.WORKER_ENDED, Reason.WORKER_LEFT)
-"""Reasons that say that nothing listens at the worker's address."""
+"""Reasons given when no process listens at the worker's address."""
 
-_CALLERS_OWN = (Reason.CANCELLED, Reason.DEADLINE_PASSED)
+_CALLER_REASONS = (Reason.CANCELLED, Reason.DEADLINE_PASSED)
 
 
 class Failure(Enum):
-    """What a reply without an answer says of its destination."""
+    """Destination failure indicated by a reply without an answer."""
 
     NONE = auto()
-    """Nothing: the request was refused for a reason of its own, or for lack of capacity."""
+    """Not a failure: a refusal due to the request itself or to lack of capacity."""
     COUNTED = auto()
-    """It may be at fault: ejected after some in a row."""
+    """A possible fault: ejects after ``CONSECUTIVE_FAILURES_BEFORE_EJECTION``."""
     WORKER_UNREACHABLE = auto()
-    """Ejected at once, for a time."""
+    """Ejects immediately, for a limited time."""
     SIDECAR_UNREACHABLE = auto()
-    """Ejected at once, until a connection has succeeded: each request that is sent there
-    waits for a connection that does not come."""
+    """Ejects immediately, until a connection succeeds, as each request sent before that would
+    wait for the connection timeout."""
 
 
 def failure_of(outcome: Outcome, reason: Reason) -> Failure:
-    """Return what a reply without an answer says of its destination."""
+    """Classify a reply without an answer by the destination failure that it indicates."""
     if reason in SIDECAR_UNREACHABLE:
         return Failure.SIDECAR_UNREACHABLE
     if reason in WORKER_UNREACHABLE:
         return Failure.WORKER_UNREACHABLE
     if reason is Reason.NO_MEMBERS:
-        # Its worker does another service, or none: this process's list is out of date.
+        # The worker serves another service or none: this sidecar's list is out of date.
         return Failure.COUNTED
-    if outcome is Outcome.UNKNOWN and reason not in _CALLERS_OWN:
+    if outcome is Outcome.UNKNOWN and reason not in _CALLER_REASONS:
         return Failure.COUNTED
     return Failure.NONE
 
 
-def ejection_seconds(failure: Failure, failures: int) -> float:
-    """Return for how many seconds a destination is ejected; 0: not at all.
+def ejection_seconds(failure: Failure, consecutive_failures: int) -> float:
+    """Return the duration of the ejection in seconds; 0 for no ejection.
 
-    :param failures: in a row, this one included.
+    :param consecutive_failures: number of consecutive failures, including this one.
 
-    >>> [ejection_seconds(Failure.COUNTED, failures) for failures in (1, 2, 3, 9)]
+    >>> [ejection_seconds(Failure.COUNTED, count) for count in (1, 2, 3, 9)]
     [0.0, 0.0, 3.0, 4.0]
-    >>> [ejection_seconds(Failure.WORKER_UNREACHABLE, failures) for failures in (1, 2, 9)]
+    >>> [ejection_seconds(Failure.WORKER_UNREACHABLE, count) for count in (1, 2, 9)]
     [1.0, 2.0, 4.0]
     """
-    if failure is Failure.COUNTED and failures < FAILURES_BEFORE_EJECTION:
+    if failure is Failure.COUNTED and consecutive_failures < CONSECUTIVE_FAILURES_BEFORE_EJECTION:
         return 0.0
-    return min(MAX_EJECTION_SECONDS, EJECTION_SECONDS * failures)
+    return min(MAX_EJECTION_SECONDS, EJECTION_SECONDS_PER_FAILURE * consecutive_failures)
--- a/src/cranklane/sidecar/routing/feedback.py
+++ b/src/cranklane/sidecar/routing/feedback.py
@@ -1,7 +1,7 @@
-"""Takes from each reply what it says of its destination: load, run time, state, failures.
+"""Updates the load, slowness, state and failures of a destination from each reply.
 
-Owns the expected latency of each route and the tasks that probe unreachable destinations. The
-rules of ejection stand in ``ejection``.
+Keeps the expected latency of each route and probes unreachable destinations. The ejection
+rules are in ``ejection``.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from cranklane.sidecar.request.call import Call
 from cranklane.sidecar.routing.destination import Destination
 from cranklane.sidecar.routing.destinations import Destinations
-from cranklane.sidecar.routing.ejection import PROBE_SECONDS, Failure, failure_of
+from cranklane.sidecar.routing.ejection import PROBE_INTERVAL_SECONDS, Failure, failure_of
 from cranklane.sidecar.routing.peer_client import PeerClient
 from cranklane.sidecar.worker.slowness import ExpectedLatencies
 
 
 class DestinationFeedback:
-    """Keeps destinations current by the replies of attempts.
+    """Updates destinations from the replies to attempts.
 
-    :ivar latencies: the expected latency of each route over all workers.
+    :ivar latencies: expected latency of each route over all workers.
     """
 
     def __init__(self, runtime: Runtime, destinations: Destinations, peers: PeerClient) -> None:
@@ -37,9 +37,9 @@
         self.latencies = ExpectedLatencies()
 
     def take(self, call: Call, destination: Destination, reply: Reply, seconds: float) -> None:
-        """Take the reply to an attempt.
+        """Update the destination of an attempt from its reply.
 
-        :param seconds: that the attempt took.
+        :param seconds: duration of the attempt.
         """
         now = self._runtime.monotonic()
         if reply.arrived and measures_latency(reply):
@@ -49,20 +49,20 @@
         if reply.outcome is Outcome.ANSWERED:
             destination.answered(now, reply.load)
             return
-        destination.take_load(now, reply.load)
+        destination.update_load(now, reply.load)
         if reply.reason is Reason.QUEUE_FULL:
-            destination.refused_at_capacity(now, call.root.priority)
+            destination.record_capacity_refusal(now, call.root.priority)
         if reply.reason is Reason.DRAINING:
-            # Its own sidecar knows first; control's update comes later.
+            # The reply comes before control's update.
             destination.state = MemberState.DRAINING
         failure = failure_of(reply.outcome, reply.reason)
         if failure is Failure.SIDECAR_UNREACHABLE:
-            self._eject_until_reached(destination, now)
+            self._eject_until_connected(destination, now)
         elif failure is not Failure.NONE:
             destination.failed(now, failure)
 
-    def _eject_until_reached(self, destination: Destination, now: float) -> None:
-        """Send nothing there until a connection has succeeded."""
+    def _eject_until_connected(self, destination: Destination, now: float) -> None:
+        """Eject a destination until a connection succeeds, and start probing it."""
         is_ejected = destination.ejected_until > now
         destination.failed(now, Failure.SIDECAR_UNREACHABLE)
         if not is_ejected:
@@ -71,10 +71,10 @@
             self._runtime.spawn(self._probe, destination)
 
     def _probe(self, destination: Destination) -> None:
-        """Try to connect until it succeeds or the destination is removed."""
+        """Probe a destination until a connection succeeds or the destination is removed."""
         while not destination.removed:
-            gevent.sleep(PROBE_SECONDS)
+            gevent.sleep(PROBE_INTERVAL_SECONDS)
             self._destinations.drop_expired()
-            if self._peers.reaches(destination.address):
-                destination.reachable()
+            if self._peers.can_connect(destination.address):
+                destination.mark_reachable()
                 return
--- a/src/cranklane/sidecar/routing/forward_records.py
+++ b/src/cranklane/sidecar/routing/forward_records.py
@@ -1,4 +1,4 @@
-"""Translates between replies and the records that carry them from one sidecar to another."""
+"""Conversion between replies and the records that carry them between sidecars."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from cranklane.sidecar.worker.condition import Condition
 
 
-def reply_of(answer: ForwardAnswer) -> Reply:
-    """Return the reply that an answer holds, without the further pieces of its body."""
+def decode_reply(answer: ForwardAnswer) -> Reply:
+    """Decode a record into a reply; ``rest`` is not set."""
     return Reply(
         Outcome(answer.outcome),
         Reason(answer.reason),
@@ -36,19 +36,19 @@
         CallFailure(answer.failed_service, Reason(answer.failed_reason))
         if answer.failed_service
         else None,
-        _work_of(answer.downstream_cost) if answer.downstream_cost else None,
+        _decode_slot_work(answer.downstream_cost) if answer.downstream_cost else None,
     )
 
 
-def _work_of(records: list[ServiceWork]) -> SlotWork:
+def _decode_slot_work(records: list[ServiceWork]) -> SlotWork:
     work = SlotWork()
-    for item in records:
-        work.add(item.service, item.milliseconds)
+    for record in records:
+        work.add(record.service, record.milliseconds)
     return work
 
 
-def answer_of(reply: Reply) -> ForwardAnswer:
-    """Return the record that begins the answer to another sidecar."""
+def encode_reply(reply: Reply) -> ForwardAnswer:
+    """Encode a reply as the record that starts the answer to another sidecar."""
     load = reply.load
     return ForwardAnswer(
         outcome=reply.outcome,
@@ -69,7 +69,8 @@
         failed_service=reply.failure.service if reply.failure else "",
         failed_reason=reply.failure.reason if reply.failure else Reason.NONE,
         downstream_cost=[
-            ServiceWork(spent, service) for service, spent in reply.downstream_cost or ()
+            ServiceWork(milliseconds, service)
+            for service, milliseconds in reply.downstream_cost or ()
         ],
         length=reply.length,
         lines=reply.lines,
--- a/src/cranklane/sidecar/routing/peer_client.py
+++ b/src/cranklane/sidecar/routing/peer_client.py
@@ -1,7 +1,7 @@
-"""Sends requests to other sidecars, one at a time on each connection.
+"""Client for other sidecars: a connection pool with one request at a time per connection.
 
-Owns the connections to them. A connection of its own for each request keeps a slow one from
-holding up others, and passes on that a caller disconnected by closing it.
+Requests do not share connections, so that a slow request does not block others, and closing
+the connection cancels the request.
 """
 
 from __future__ import annotations
@@ -24,38 +24,37 @@
 )
 from cranklane.runtime.interface import Address, Runtime
 from cranklane.sidecar.request.attempt import Attempt, Reply, refusal, unknown
-from cranklane.sidecar.routing.forward_records import reply_of
+from cranklane.sidecar.routing.forward_records import decode_reply
 
-CONNECT_SECONDS = 0.6
-"""Seconds to wait for a connection. A choice: a packet that is lost is sent again in this time,
-and a request still has time for another worker."""
+CONNECT_TIMEOUT_SECONDS = 0.6
+"""Connect timeout. Allows for the retransmission of one lost packet, and leaves a request time
+for a retry at another worker."""
 
-IDLE_SECONDS = 8.0
-"""Seconds of rest after which a kept connection is closed instead of used. A choice: well below
-``peer_server.IDLE_SECONDS``, so that no request crosses the other side's close."""
+MAX_IDLE_SECONDS = 8.0
+"""Idle time after which a pooled connection is not reused. Well below
+``peer_server.IDLE_TIMEOUT_SECONDS``, so that no request is sent while the server closes it."""
 
-UNCHECKED_SECONDS = 0.3
-"""Seconds of rest up to which a connection is used again without asking the system whether the
-other side has closed it. A choice: at load nearly all are younger, which saves a system call."""
+UNCHECKED_IDLE_SECONDS = 0.3
+"""Idle time up to which a pooled connection is reused without checking whether the peer has
+closed it. Saves a system call per request under load."""
 
-EXCHANGE_SECONDS = 1.0
-"""Seconds to wait for the answer to an update on quarantined requests; after that the sidecar
-counts as not reached. A choice."""
+EXCHANGE_TIMEOUT_SECONDS = 1.0
+"""Timeout for the answer to a quarantine update."""
 
 
 class _Connection:
-    __slots__ = ("records", "stream", "rested_at")
+    __slots__ = ("records", "stream", "idle_since")
 
     def __init__(self, records: RecordConnection, stream: object) -> None:
         self.records = records
         self.stream = stream
-        self.rested_at = 0.0
+        self.idle_since = 0.0
 
 
 class PeerClient:
-    """Sends requests to other sidecars.
+    """Sends requests and quarantine updates to other sidecars over pooled connections.
 
-    :param hello: makes the record that begins each connection.
+    :param hello: returns the first record of a connection.
     """
 
     def __init__(self, runtime: Runtime, hello: Callable[[], Hello]) -> None:
@@ -64,62 +63,62 @@
         self._idle: dict[Address, deque[_Connection]] = {}
 
     def run(self, address: Address, attempt: Attempt) -> Reply:
-        """Have the sidecar at an address run a request; return what became of it.
+        """Send a request to the sidecar at an address and return its reply.
 
-        Failures of the connection are part of the reply: PEER_UNREACHABLE if nothing was
-        sent, else PEER_LOST or DEADLINE_PASSED.
+        Connection failures are returned as replies with the reason PEER_UNREACHABLE if nothing
+        was sent, otherwise PEER_LOST, DEADLINE_PASSED or CANCELLED.
         """
         started_at = self._runtime.monotonic()
         try:
-            connection = self._take(address)
+            connection = self._acquire(address)
         except (OSError, ConnectionLostError, MalformedRecordError):
             return refusal(Reason.PEER_UNREACHABLE)
         records = connection.records
         attempt.when_cancelled(records.close)
-        allowed = attempt.request.deadline_ms / MILLISECONDS
+        timeout_seconds = attempt.request.deadline_ms / MILLISECONDS
         try:
-            records.set_silent_after(allowed)
+            records.set_silent_after(timeout_seconds)
             records.send(attempt.request)
-            answer = self._answer(records, attempt)
+            answer = self._receive_answer(records, attempt)
         except (ConnectionLostError, MalformedRecordError) as error:
             records.close()
-            is_over = self._runtime.monotonic() - started_at >= allowed
-            return _reply_without_answer(attempt, error, is_over)
-        reply = reply_of(answer)
+            deadline_passed = self._runtime.monotonic() - started_at >= timeout_seconds
+            return _reply_without_answer(attempt, error, deadline_passed)
+        reply = decode_reply(answer)
         if answer.outcome != Outcome.ANSWERED and not attempt.request.whole:
-            # Pieces of the body may still be on their way there.
+            # Chunks of the request body may still be in transit.
             records.close()
         elif answer.whole:
-            self._keep(address, connection)
+            self._release(address, connection)
         else:
-            reply.rest = self._further_pieces(address, connection)
+            reply.rest = self._stream_body(address, connection)
         return reply
 
-    def _take(self, address: Address) -> _Connection:
+    def _acquire(self, address: Address) -> _Connection:
         now = self._runtime.monotonic()
         idle = self._idle.get(address)
         while idle:
             connection = idle.pop()
-            rested = now - connection.rested_at
-            if rested < UNCHECKED_SECONDS:
+            idle_seconds = now - connection.idle_since
+            if idle_seconds < UNCHECKED_IDLE_SECONDS:
                 return connection
-            if rested < IDLE_SECONDS and not self._runtime.has_input(connection.stream):
+            if idle_seconds < MAX_IDLE_SECONDS and not self._runtime.has_input(connection.stream):
                 return connection
             connection.records.close()
-        stream = self._runtime.connect(address, CONNECT_SECONDS)
+        stream = self._runtime.connect(address, CONNECT_TIMEOUT_SECONDS)
         self._runtime.end_when_unheard(stream)
-        records = RecordConnection(stream, CONNECT_SECONDS)
+        records = RecordConnection(stream, CONNECT_TIMEOUT_SECONDS)
         records.queue(self._hello())
         return _Connection(records, stream)
 
-    def _keep(self, address: Address, connection: _Connection) -> None:
-        connection.rested_at = self._runtime.monotonic()
+    def _release(self, address: Address, connection: _Connection) -> None:
+        connection.idle_since = self._runtime.monotonic()
         idle = self._idle.setdefault(address, deque())
         idle.append(connection)
-        if connection.rested_at - idle[0].rested_at > IDLE_SECONDS:
+        if connection.idle_since - idle[0].idle_since > MAX_IDLE_SECONDS:
             idle.popleft().records.close()
 
-    def _answer(self, records: RecordConnection, attempt: Attempt) -> ForwardAnswer:
+    def _receive_answer(self, records: RecordConnection, attempt: Attempt) -> ForwardAnswer:
         while True:
             _, message = records.receive()
             match message:
@@ -130,9 +129,11 @@
                 case Ping():
                     pass
                 case _:
-                    raise MalformedRecordError(f"{type(message).__name__} as an answer")
+                    raise MalformedRecordError(
+                        f"expected ForwardAnswer, received {type(message).__name__}"
+                    )
 
-    def _further_pieces(self, address: Address, connection: _Connection) -> Iterator[bytes]:
+    def _stream_body(self, address: Address, connection: _Connection) -> Iterator[bytes]:
         records = connection.records
         whole = False
         try:
@@ -149,69 +150,69 @@
             raise AnswerCutError(str(error)) from error
         finally:
             if whole:
-                self._keep(address, connection)
+                self._release(address, connection)
             else:
                 records.close()
 
     def exchange(self, address: Address, update: QuarantineNews) -> QuarantineNews | None:
-        """Send an update on quarantined requests; return the answer, None without one.
+        """Send a quarantine update and return the answer, or None if the exchange failed.
 
-        None counts as not reached: the sender sends it again, or another way.
+        The caller is responsible for sending the update again.
         """
         try:
-            connection = self._take(address)
+            connection = self._acquire(address)
         except (OSError, ConnectionLostError, MalformedRecordError):
             return None
         try:
-            connection.records.set_silent_after(EXCHANGE_SECONDS)
+            connection.records.set_silent_after(EXCHANGE_TIMEOUT_SECONDS)
             connection.records.send(update)
             answer = connection.records.expect(QuarantineNews)
         except (ConnectionLostError, MalformedRecordError):
             connection.records.close()
             return None
-        self._keep(address, connection)
+        self._release(address, connection)
         return answer
 
     def forget(self, address: Address) -> None:
-        """Close the idle connections to an address that does not answer."""
+        """Close the idle connections to an unreachable address."""
         for connection in self._idle.pop(address, ()):
             connection.records.close()
 
-    def reaches(self, address: Address) -> bool:
-        """Return whether a connection to an address can be opened, and keep it."""
+    def can_connect(self, address: Address) -> bool:
+        """Return whether a connection to an address can be opened; it is added to the pool."""
         try:
-            connection = self._take(address)
+            connection = self._acquire(address)
             connection.records.flush()
         except (OSError, ConnectionLostError):
-            # This is the answer that is asked for; the caller tries again.
+            # Not logged: the caller repeats the probe until it succeeds.
             return False
-        self._keep(address, connection)
+        self._release(address, connection)
         return True
 
 
-def _reply_without_answer(attempt: Attempt, error: Exception, is_over: bool) -> Reply:
-    """Return the reply to a request on whose connection an error came instead of an answer.
+def _reply_without_answer(attempt: Attempt, error: Exception, deadline_passed: bool) -> Reply:
+    """Return the reply for a connection error after the request was sent.
 
-    :param is_over: whether its deadline has passed by the clock.
+    :param deadline_passed: whether the request's deadline has passed.
     """
     if attempt.cancelled:
         return unknown(Reason.CANCELLED)
-    # The wait is bounded by the deadline; its timer may end just before it by the clock.
+    # The receive timer is set to the deadline and may fire slightly early.
     timed_out = isinstance(error.__cause__, TimeoutError)
-    return unknown(Reason.DEADLINE_PASSED if is_over or timed_out else Reason.PEER_LOST)
+    return unknown(Reason.DEADLINE_PASSED if deadline_passed or timed_out else Reason.PEER_LOST)
 
 
 def _send_body(records: RecordConnection, attempt: Attempt) -> None:
     assert attempt.rest is not None
     try:
         while True:
-            piece = attempt.rest()
-            records.send(ForwardBody(not piece, piece))
-            if not piece:
+            chunk = attempt.rest()
+            records.send(ForwardBody(not chunk, chunk))
+            if not chunk:
                 return
     except (OSError, MessageCutError, MalformedMessageError):
-        # The caller's body ended too early; nothing may take it for whole.
+        # The caller's body is incomplete: close, so that the peer does not treat it as complete.
         records.close()
     except ConnectionLostError:
-        # The task that waits for the answer on this connection finds the same and reports it.
+        # Reported by the task that waits for the answer on this connection.
         return
--- a/src/cranklane/sidecar/routing/peer_server.py
+++ b/src/cranklane/sidecar/routing/peer_server.py
@@ -1,7 +1,4 @@
-"""Serves the requests that other sidecars send to this machine's worker.
-
-Owns the connections from them. Relies on the gate, which decides what runs.
-"""
+"""Server for other sidecars: passes their requests to the admission gate of the local worker."""
 
 from __future__ import annotations
 
@@ -24,20 +21,20 @@
 from cranklane.sidecar.admission.gate import Gate
 from cranklane.sidecar.ingress.disconnect import DisconnectWatch
 from cranklane.sidecar.request.attempt import Attempt, Reply
-from cranklane.sidecar.routing.forward_records import answer_of
+from cranklane.sidecar.routing.forward_records import encode_reply
 
-IDLE_SECONDS = 20.0
-"""Seconds of rest after which a connection is closed. A choice: later than the other side stops
-using it (``peer_client.IDLE_SECONDS``), so that no request crosses the close."""
+IDLE_TIMEOUT_SECONDS = 20.0
+"""Idle time after which a connection is closed. Longer than the client reuses a connection
+(``peer_client.MAX_IDLE_SECONDS``), so that no request arrives while it is closed."""
 
-GREETING_SECONDS = 5.0
-"""Seconds to wait for the record that begins a connection. A choice."""
+HELLO_TIMEOUT_SECONDS = 5.0
+"""Timeout for the first record of a connection."""
 
 
 class PeerServer:
-    """Serves requests of other sidecars.
+    """Serves connections of other sidecars.
 
-    :param on_update: takes an update on quarantined requests and returns the answer.
+    :param on_update: applies a quarantine update and returns the answer to it.
     """
 
     def __init__(
@@ -56,46 +53,53 @@
         self._idle: set[RecordConnection] = set()
 
     def accept(self, stream: object, _address: Address) -> None:
-        """Serve a connection until it ends."""
-        records = RecordConnection(stream, GREETING_SECONDS)
+        """Serve a connection until either side closes it."""
+        records = RecordConnection(stream, HELLO_TIMEOUT_SECONDS)
         try:
             records.expect(Hello)
-            records.set_silent_after(IDLE_SECONDS)
+            records.set_silent_after(IDLE_TIMEOUT_SECONDS)
             while True:
                 self._idle.add(records)
                 _, message = records.receive()
                 self._idle.discard(records)
-                if not self._take(records, stream, message):
+                if not self._handle(records, stream, message):
                     break
         except ConnectionLostError:
-            # The usual end: the other side has closed a connection it needs no more.
+            # Not an error: clients close idle connections, and cancel requests by closing.
             pass
         except MalformedRecordError as error:
-            # Either side has a fault: requests here would fail one after the other.
+            # Logged as an error: a protocol fault would make further requests fail too.
             self._log.error("peer_record_malformed", error=str(error))
         finally:
             self._idle.discard(records)
             records.close()
 
-    def _take(self, records: RecordConnection, stream: object, message: Message) -> bool:
-        """Answer one record; return whether the connection can be used again."""
+    def _handle(self, records: RecordConnection, stream: object, message: Message) -> bool:
+        """Answer a record and return whether the connection can be reused.
+
+        Raises MalformedRecordError for an unexpected kind of record.
+        """
         match message:
             case ForwardRequest():
-                return self._serve(records, stream, message)
+                return self._handle_request(records, stream, message)
             case QuarantineNews():
                 records.send(self._on_update(message))
                 return True
             case _:
-                raise MalformedRecordError(f"{type(message).__name__} from a sidecar")
+                raise MalformedRecordError(
+                    f"expected ForwardRequest or QuarantineNews, received {type(message).__name__}"
+                )
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is under way."""
+        """Close the connections without a request in progress."""
         for records in list(self._idle):
             records.close()
 
-    def _serve(self, records: RecordConnection, stream: object, request: ForwardRequest) -> bool:
-        """Answer one request; return whether the connection can be used again."""
-        body = None if request.whole else _body_of(records)
+    def _handle_request(
+        self, records: RecordConnection, stream: object, request: ForwardRequest
+    ) -> bool:
+        """Run a request, send its reply and return whether the connection can be reused."""
+        body = None if request.whole else _body_reader(records)
         attempt = Attempt(request, body)
         self._disconnects.add(stream, attempt.cancel)
         try:
@@ -108,21 +112,21 @@
             if reply.rest is not None:
                 reply.rest.close()  # type: ignore[attr-defined]
             return False
-        sent = self._send(records, reply)
+        sent = self._send_reply(records, reply)
         return sent and (request.whole or reply.outcome is Outcome.ANSWERED)
 
-    def _send(self, records: RecordConnection, reply: Reply) -> bool:
+    def _send_reply(self, records: RecordConnection, reply: Reply) -> bool:
         if reply.rest is None:
-            records.send(answer_of(reply))
+            records.send(encode_reply(reply))
             return True
         last: Message
         try:
-            records.send(answer_of(reply))
-            for piece in reply.rest:
-                records.send(ForwardBody(False, piece))
+            records.send(encode_reply(reply))
+            for chunk in reply.rest:
+                records.send(ForwardBody(False, chunk))
             last = ForwardBody(True, b"")
         except AnswerCutError:
-            # The other side reports the cut.
+            # Not logged here: the client raises the error on receiving ForwardCut.
             last = ForwardCut()
         finally:
             reply.rest.close()  # type: ignore[attr-defined]
@@ -130,15 +134,15 @@
         return isinstance(last, ForwardBody)
 
 
-def _body_of(records: RecordConnection) -> Callable[[], bytes]:
-    ended = False
+def _body_reader(records: RecordConnection) -> Callable[[], bytes]:
+    complete = False
 
     def read() -> bytes:
-        nonlocal ended
-        if ended:
+        nonlocal complete
+        if complete:
             return b""
-        piece = records.expect(ForwardBody)
-        ended = piece.last
-        return piece.data
+        chunk = records.expect(ForwardBody)
+        complete = chunk.last
+        return chunk.data
 
     return read
--- a/src/cranklane/sidecar/routing/retry_budget.py
+++ b/src/cranklane/sidecar/routing/retry_budget.py
@@ -1,25 +1,20 @@
-"""How many requests may be sent to a second worker.
+"""Retry budget per service, by token buckets.
 
-The operator bounds the retries at a service, summed over the whole fleet, in every window of
-time: a ratio of the requests for it, and a slack. Each sidecar keeps its part of that bound
-without asking anybody:
+The operator's bound limits the retries at a service by the whole fleet in any window: a ratio
+of its requests, plus a slack. Each sidecar enforces its part without coordination:
 
-- Each request that begins at it earns a fraction of a token, which expires after at most a
-  fifth of a window. So what is spent in a window was earned in that window or shortly before
-  it, and most of the ratio may be earned; the rest covers requests that come in bursts. Where
-  all load comes through a few sidecars, they earn all of it.
-- The slack is divided by the number of sidecars. Its share comes anew with each window, so
-  that at most two shares are spent within any. There is none while the number still grows
-  after a start: a fleet that was restarted as a whole does not know yet how large it is.
+- Each request earns a fraction of a token, which expires after at most a fifth of a window, so
+  that the tokens spent in a window were earned in it or shortly before. A sidecar that
+  receives all requests earns all tokens.
+- The slack is divided by the number of sidecars. A sidecar's share is granted once per window,
+  so that any window sees at most two shares. No share is granted while the number of known
+  sidecars is growing, as it would be too large after a restart of the fleet.
 
-Fractions of tokens count: with less than one token, a retry is allowed at random with just
-that probability, so that a fleet of many sidecars with little to do each uses what it may.
+With less than one token, a retry is allowed with the probability of that fraction, so that
+many sidecars with little load can use the budget too.
 
-Calls that a retried run makes are retries too; they are charged where they begin, so that
-the bound holds at any depth of a call tree.
-
-Owns the tokens of this sidecar. That the sum over a fleet keeps the bound is tested with 1 to
-1,200 sidecars in tests/test_retry_budget.py.
+Calls made by a retried run are also retries. They are charged at the sidecar they start from,
+so that the bound holds at any depth of a call tree.
 """
 
 from __future__ import annotations
@@ -31,40 +26,37 @@
 from typing import NamedTuple
 
 EARNED_FRACTION = 0.65
-"""Fraction of the operator's ratio that each request earns. A window may see the tokens of 1.2
-windows spent, and of more where the requests just before it were many more than before them.
-The fleets of tests/test_retry_budget.py keep the bound with it; by calculation 0.75 comes too
-near to the bound when two bursts stand around a pause."""
+"""Fraction of the operator's ratio that each request earns. Below 1 because a window can see
+tokens spent that were earned before it, most of all after a burst of requests."""
 
-SPAN_FRACTION = 0.1
-"""Fraction of a window after which what was earned begins to expire; it has expired after twice
-that. A choice: long enough for a retry that follows its request by seconds."""
+TOKEN_PERIOD_FRACTION = 0.1
+"""Length of an earning period as a fraction of the window. Tokens expire at the end of the
+period after the one in which they were earned."""
 
 SLACK_FRACTION = 0.2
-"""Fraction of the slack that is divided among the sidecars. A choice: two shares may fall into
-one window, and calls made by retries, charged after the fact, add to it further down."""
+"""Fraction of the slack that is divided among the sidecars. Below 1 because two shares can fall
+into one window, and calls made by retries are charged even without tokens."""
 
-MAX_DEBT = 20.0
-"""Most tokens that are owed. A choice: a larger debt would outlast the window it was made in."""
+MAX_DEBT_TOKENS = 20.0
+"""Upper limit of the debt, so that it does not outlast the window in which it arose."""
 
-KNOWN_SIZE_HALF_LIFE = 6.0
-"""Windows in which the assumed number of sidecars halves at most. A choice: a part of the fleet
-that is cut off, or has just been restarted, sees few others for less than that."""
+FLEET_SIZE_HALF_LIFE_WINDOWS = 6.0
+"""Half-life, in windows, of the assumed fleet size when fewer sidecars are known. Longer than
+a partition or restart usually hides sidecars from each other."""
 
-SETTLED_SECONDS = 1.0
-"""Seconds without growth after which the number of sidecars is believed. A choice: members come
-in within a fraction of that after a start."""
+FLEET_SETTLE_SECONDS = 1.0
+"""Time without growth after which the number of known sidecars is used. Longer than the member
+list takes to arrive after a start."""
 
-_ONE_RETRY = 1.0
-"""Tokens that a retry costs."""
+_TOKENS_PER_RETRY = 1.0
 
 
 class RetryBound(NamedTuple):
-    """The operator's bound on retries at each service, over the whole fleet.
+    """The operator's fleet-wide limit on retries at each service.
 
-    :ivar ratio: retries for each request.
-    :ivar slack: retries beyond the ratio within any window.
-    :ivar window: seconds.
+    :ivar ratio: retries allowed per request.
+    :ivar slack: retries allowed in any window in addition to the ratio.
+    :ivar window: length of the window in seconds.
     """
 
     ratio: float
@@ -73,10 +65,10 @@
 
 
 class FleetSize(NamedTuple):
-    """How many sidecars there are, as one of them knows.
+    """Fleet size as known to this sidecar.
 
-    :ivar sidecars: known now, this one included.
-    :ivar grown_at: monotonic second at which more were known than ever before.
+    :ivar sidecars: number of known sidecars, including this one.
+    :ivar grown_at: monotonic time in seconds of the last new maximum.
     """
 
     sidecars: int
@@ -84,55 +76,55 @@
 
 
 @dataclass(slots=True)
-class _Account:
-    """Tokens of one service.
-
-    :ivar span_began: monotonic second at which the present span began.
-    :ivar current: tokens earned, less spent, in the present span.
-    :ivar former: tokens left of the span before it.
-    :ivar debt: tokens spent beyond those there were; what is earned pays for it first.
-    :ivar share: tokens left of the share of the slack.
-    :ivar share_began: monotonic second at which that share came.
+class _TokenBucket:
+    """Tokens for one service. Times are monotonic seconds.
+
+    :ivar period_started_at: start of the current earning period.
+    :ivar current: unspent tokens earned in the current period.
+    :ivar previous: unspent tokens earned in the period before it.
+    :ivar debt: tokens overspent; repaid first from earned tokens.
+    :ivar slack_tokens: unspent tokens of the slack share.
+    :ivar slack_granted_at: time at which the slack share was last granted.
     """
 
-    span_began: float
+    period_started_at: float
     current: float = 0.0
-    former: float = 0.0
+    previous: float = 0.0
     debt: float = 0.0
-    share: float = 0.0
-    share_began: float = -inf
+    slack_tokens: float = 0.0
+    slack_granted_at: float = -inf
 
     @property
     def tokens(self) -> float:
-        """All that may be spent."""
-        return self.current + self.former + self.share - self.debt
+        """Available tokens; negative if the debt exceeds them."""
+        return self.current + self.previous + self.slack_tokens - self.debt
 
     def earn(self, tokens: float) -> None:
-        """Add what one more request earns, less what is owed."""
-        paid = min(tokens, self.debt)
-        self.debt -= paid
-        self.current += tokens - paid
+        """Add earned tokens after repaying debt."""
+        repaid = min(tokens, self.debt)
+        self.debt -= repaid
+        self.current += tokens - repaid
 
     def spend(self, tokens: float) -> None:
-        """Spend tokens, first those that expire first; what is missing is owed."""
-        from_former = min(tokens, max(0.0, self.former))
-        self.former -= from_former
-        tokens -= from_former
-        from_share = min(tokens, max(0.0, self.share))
-        self.share -= from_share
-        tokens -= from_share
+        """Spend tokens, earliest expiry first; a shortfall is added to the debt."""
+        from_previous = min(tokens, max(0.0, self.previous))
+        self.previous -= from_previous
+        tokens -= from_previous
+        from_slack = min(tokens, max(0.0, self.slack_tokens))
+        self.slack_tokens -= from_slack
+        tokens -= from_slack
         from_current = min(tokens, self.current)
         self.current -= from_current
-        self.debt = min(MAX_DEBT, self.debt + tokens - from_current)
+        self.debt = min(MAX_DEBT_TOKENS, self.debt + tokens - from_current)
 
 
 class RetryBudget:
-    """Retries that this sidecar may send, by service.
+    """Retry budget of this sidecar, by service.
 
-    :param bound: of the whole fleet.
-    :param clock: monotonic seconds.
-    :param random: draws for fractions of tokens.
-    :param fleet: returns what is known of the fleet now.
+    :param bound: limit for the whole fleet.
+    :param clock: returns monotonic time in seconds.
+    :param random: source of the random decisions on fractional tokens.
+    :param fleet: returns the currently known fleet size.
     """
 
     def __init__(
@@ -145,67 +137,69 @@
         self._bound = bound
         self._clock = clock
         self._random = random
-        self._fleet = fleet
-        self._accounts: dict[str, _Account] = {}
-        self._size = 0.0
-        self._size_at = clock()
+        self._fleet_size = fleet
+        self._buckets: dict[str, _TokenBucket] = {}
+        self._assumed_size = 0.0
+        self._assumed_size_at = clock()
 
     def earn(self, service: str) -> None:
-        """Count a request that begins here."""
-        self._account(service).earn(EARNED_FRACTION * self._bound.ratio)
+        """Credit the budget with a request that starts at this sidecar."""
+        self._refreshed_bucket(service).earn(EARNED_FRACTION * self._bound.ratio)
 
     def charge(self, service: str) -> None:
-        """Count a retry that nobody asked for: a call of a run that is one."""
-        self._account(service).spend(_ONE_RETRY)
+        """Charge the budget for a call made by a retried run, even without tokens."""
+        self._refreshed_bucket(service).spend(_TOKENS_PER_RETRY)
 
     def take(self, service: str) -> bool:
-        """Return whether one more arrival at a service is allowed, and count it.
+        """Return whether a retry at a service is allowed, and charge the budget for it.
 
-        Draws a random number only if there is less than one token.
+        Uses a random number only if there is less than one token.
         """
-        account = self._account(service)
-        tokens = account.tokens
-        if tokens >= _ONE_RETRY:
-            account.spend(_ONE_RETRY)
+        bucket = self._refreshed_bucket(service)
+        tokens = bucket.tokens
+        if tokens >= _TOKENS_PER_RETRY:
+            bucket.spend(_TOKENS_PER_RETRY)
             return True
         if tokens <= 0.0:
             return False
-        # Spent either way, so that on average just these fractions are spent.
-        account.spend(tokens)
+        # Spent whatever the draw: the expected number of retries equals the tokens spent.
+        bucket.spend(tokens)
         return self._random.random() < tokens
 
-    def _account(self, service: str) -> _Account:
+    def _refreshed_bucket(self, service: str) -> _TokenBucket:
         now = self._clock()
-        account = self._accounts.get(service)
-        if account is None:
-            account = _Account(now)
-            self._accounts[service] = account
-        self._expire(account, now)
-        if now - account.share_began >= self._bound.window:
-            self._renew_share(account, now)
-        return account
-
-    def _expire(self, account: _Account, now: float) -> None:
-        """Drop the tokens that are older than two spans."""
-        span = self._bound.window * SPAN_FRACTION
-        spans = int((now - account.span_began) / span)
-        if spans > 0:
-            account.former = account.current if spans == 1 else 0.0
-            account.current = 0.0
-            account.span_began += spans * span
-
-    def _renew_share(self, account: _Account, now: float) -> None:
-        fleet = self._fleet()
-        if fleet.sidecars < 2 or now - fleet.grown_at < SETTLED_SECONDS:
-            # It knows nobody yet, or not all: its share would be too large.
+        bucket = self._buckets.get(service)
+        if bucket is None:
+            bucket = _TokenBucket(now)
+            self._buckets[service] = bucket
+        self._expire(bucket, now)
+        if now - bucket.slack_granted_at >= self._bound.window:
+            self._grant_slack(bucket, now)
+        return bucket
+
+    def _expire(self, bucket: _TokenBucket, now: float) -> None:
+        """Drop the tokens earned before the previous period."""
+        period = self._bound.window * TOKEN_PERIOD_FRACTION
+        periods = int((now - bucket.period_started_at) / period)
+        if periods > 0:
+            bucket.previous = bucket.current if periods == 1 else 0.0
+            bucket.current = 0.0
+            bucket.period_started_at += periods * period
+
+    def _grant_slack(self, bucket: _TokenBucket, now: float) -> None:
+        fleet = self._fleet_size()
+        if fleet.sidecars < 2 or now - fleet.grown_at < FLEET_SETTLE_SECONDS:
+            # The known fleet is incomplete, which would make the share too large.
             return
-        account.share = SLACK_FRACTION * self._bound.slack / self._known_size(fleet, now)
-        account.share_began = now
-
-    def _known_size(self, fleet: FleetSize, now: float) -> float:
-        """Return how many sidecars are assumed: fewer than before only by and by."""
-        windows = (now - self._size_at) / self._bound.window
-        decayed = self._size * 0.5 ** (windows / KNOWN_SIZE_HALF_LIFE)
-        self._size = max(1.0, float(fleet.sidecars), decayed)
-        self._size_at = now
-        return self._size
+        bucket.slack_tokens = (
+            SLACK_FRACTION * self._bound.slack / self._assumed_fleet_size(fleet, now)
+        )
+        bucket.slack_granted_at = now
+
+    def _assumed_fleet_size(self, fleet: FleetSize, now: float) -> float:
+        """Return the assumed number of sidecars, which rises at once and falls gradually."""
+        windows = (now - self._assumed_size_at) / self._bound.window
+        decayed = self._assumed_size * 0.5 ** (windows / FLEET_SIZE_HALF_LIFE_WINDOWS)
+        self._assumed_size = max(1.0, float(fleet.sidecars), decayed)
+        self._assumed_size_at = now
+        return self._assumed_size
--- a/src/cranklane/sidecar/routing/retry_policy.py
+++ b/src/cranklane/sidecar/routing/retry_policy.py
@@ -1,8 +1,7 @@
-"""Decides after each attempt whether another worker is asked or the reply is final.
+"""Retry policy: whether to retry at another worker after an attempt, or return its reply.
 
-Owns the rules and their limits; it changes nothing. ``decide`` is the whole table: its rows
-are read from top to bottom, and the first that applies gives the verdict. The retry budget is
-asked by the dispatcher, and only for ``Verdict.RETRY_FROM_BUDGET``.
+``decide`` has no side effects and applies its rules in order; the first match gives the
+verdict. For ``Verdict.RETRY_FROM_BUDGET`` the dispatcher consults the retry budget.
 """
 
 from __future__ import annotations
@@ -16,119 +15,116 @@
 from cranklane.sidecar.request.call import Call, CallProgress
 
 MAX_CAPACITY_REFUSALS = 3
-"""Sidecars that refuse a request for lack of capacity before that is the answer. A choice:
-under overload more questions find no capacity either, and each costs a sidecar work."""
+"""Refusals for lack of capacity after which a request is not retried. Under overload, further
+attempts only add load."""
 
-MAX_SIDECARS = 8
-"""Sidecars asked in turn, also those whose worker is draining or unreachable. A choice: enough
-to get past the workers of a service that is being restarted."""
+MAX_SIDECARS_TRIED = 8
+"""Maximum number of sidecars tried per request, including those with a draining or unreachable
+worker. Allows for several restarting workers during a rolling restart."""
 
-_WORKER_ERROR = HTTPStatus.INTERNAL_SERVER_ERROR
-"""The one status after which another worker may do better. Looked up once, as are the members
-in the tuples: in Python 3.11 an enum's attribute takes 0.2 us."""
+_RETRYABLE_STATUS = HTTPStatus.INTERNAL_SERVER_ERROR
+"""The only HTTP status that is retried. Cached, like the tuples of reasons, because enum
+attribute lookup is slow."""
 
 REFUSED_EVERYWHERE = (Reason.QUARANTINED, Reason.RUN_ALONE)
-"""Refusals that every other sidecar would give too: they concern the request, not the worker."""
+"""Refusals that concern the request rather than the worker, so every sidecar would refuse."""
 
 
 class Verdict(Enum):
-    """What follows an attempt: a retry, or why its reply is final."""
+    """Decision after an attempt: a retry, or the reason why its reply is final."""
 
     RETRY = auto()
-    """Ask another worker; no worker was reached, so it costs nothing."""
+    """Retry without charging the budget, because no worker was reached."""
     RETRY_FROM_BUDGET = auto()
-    """Ask another worker if the retry budget pays for one more arrival."""
+    """Retry if the retry budget allows it."""
     CALLER_DISCONNECTED = auto()
     DEADLINE_PASSED = auto()
     REFUSED_EVERYWHERE = auto()
-    QUARANTINED_MEANWHILE = auto()
+    NEWLY_QUARANTINED = auto()
     ANSWERED = auto()
     DOWNSTREAM_STARVED = auto()
-    ANSWER_STREAMS = auto()
+    ANSWER_NOT_BUFFERED = auto()
     NOT_IDEMPOTENT = auto()
     BODY_CONSUMED = auto()
-    CAPACITY_REFUSALS = auto()
-    SIDECARS_ASKED = auto()
+    CAPACITY_REFUSAL_LIMIT = auto()
+    SIDECAR_LIMIT = auto()
     REFUSED_EARLY = auto()
-    ATTEMPTS_SPENT = auto()
-    BELOW_A_RETRY = auto()
+    ATTEMPTS_EXHAUSTED = auto()
+    CALLED_BY_RETRY = auto()
 
 
-CALL_IS_OVER = (
+CALL_OVER_VERDICTS = (
     Verdict.CALLER_DISCONNECTED,
     Verdict.DEADLINE_PASSED,
     Verdict.REFUSED_EVERYWHERE,
-    Verdict.QUARANTINED_MEANWHILE,
+    Verdict.NEWLY_QUARANTINED,
 )
-"""Verdicts on the call whatever the reply was; a refusal is not counted then."""
+"""Verdicts that end the call whether or not there is capacity; the refusal is not counted."""
 
 
 def decide(
     progress: CallProgress, reply: Reply, now: float, is_quarantined: Callable[[Call], bool]
 ) -> Verdict:
-    """Return what follows an attempt.
+    """Return the verdict after an attempt.
 
-    :param progress: with ``attempts`` and ``tried`` including this attempt, ``refusals`` not.
-    :param reply: of this attempt.
-    :param now: monotonic seconds.
-    :param is_quarantined: asked only for a call that is suspected of crashing a worker.
+    :param progress: ``attempts`` and ``tried`` include this attempt, ``refusals`` does not.
+    :param reply: reply to this attempt.
+    :param now: monotonic time in seconds.
+    :param is_quarantined: called only if the call is suspected of crashing a worker.
     """
     call = progress.call
     if progress.cancelled:
-        # Nobody waits for an answer.
         return Verdict.CALLER_DISCONNECTED
     if now >= call.deadline:
-        # The caller has given up.
         return Verdict.DEADLINE_PASSED
     if reply.reason in REFUSED_EVERYWHERE:
         return Verdict.REFUSED_EVERYWHERE
     if progress.suspected and is_quarantined(call):
-        # It would crash the next worker too.
-        return Verdict.QUARANTINED_MEANWHILE
+        # Another attempt could crash another worker.
+        return Verdict.NEWLY_QUARANTINED
     if reply.outcome is Outcome.ANSWERED:
-        if reply.status != _WORKER_ERROR:
-            # The worker has decided; another one would say the same.
+        if reply.status != _RETRYABLE_STATUS:
+            # Another worker would give the same answer.
             return Verdict.ANSWERED
         if reply.downstream_starved:
-            # The lack of capacity is deeper than this worker, and another run adds to it.
+            # A downstream service lacks capacity, and a retry would add to its load.
             return Verdict.DOWNSTREAM_STARVED
         if reply.rest is not None:
-            # The answer is too large to keep for the case that the next one is no better.
-            return Verdict.ANSWER_STREAMS
+            # The answer is too large to buffer as the fallback for a failed retry.
+            return Verdict.ANSWER_NOT_BUFFERED
     if reply.outcome is not Outcome.NOT_RUN:
         if not call.route.idempotent:
-            # It has run, or may have run, and must not run twice.
+            # The request may have run, and must not run twice.
             return Verdict.NOT_IDEMPOTENT
         if call.rest is not None:
-            # Pieces of its body have been sent and are not kept.
+            # Chunks of the request body have been sent and are not buffered.
             return Verdict.BODY_CONSUMED
     return _after_arrival(progress) if reply.arrived else _after_refusal(progress, reply)
 
 
 def _after_refusal(progress: CallProgress, reply: Reply) -> Verdict:
-    """Return what follows an attempt that reached no worker."""
+    """Return the verdict after an attempt that did not reach a worker."""
     refusals = progress.refusals + (reply.reason in AT_CAPACITY)
     if refusals >= MAX_CAPACITY_REFUSALS:
         # The service as a whole is saturated.
-        return Verdict.CAPACITY_REFUSALS
-    if len(progress.tried) >= MAX_SIDECARS:
-        # Most workers of the service are away.
-        return Verdict.SIDECARS_ASKED
+        return Verdict.CAPACITY_REFUSAL_LIMIT
+    if len(progress.tried) >= MAX_SIDECARS_TRIED:
+        # Most workers of the service are unavailable.
+        return Verdict.SIDECAR_LIMIT
     if reply.reason is Reason.REFUSED_EARLY:
-        # Runs of this route fail at a fault deeper than this worker.
+        # Runs of this route fail in a downstream service, whichever worker runs them.
         return Verdict.REFUSED_EARLY
     if progress.attempts >= progress.call.route.max_attempts:
-        # The route allows no further arrival, so there is nothing to ask for.
-        return Verdict.ATTEMPTS_SPENT
+        # A retry must not reach a worker: the route's limit of attempts is used up.
+        return Verdict.ATTEMPTS_EXHAUSTED
     return Verdict.RETRY
 
 
 def _after_arrival(progress: CallProgress) -> Verdict:
-    """Return what follows an attempt that reached a worker and may be retried."""
+    """Return the verdict after an attempt that reached a worker and is safe to retry."""
     if progress.attempts >= progress.call.route.max_attempts:
-        return Verdict.ATTEMPTS_SPENT
+        return Verdict.ATTEMPTS_EXHAUSTED
     if progress.call.root.is_retry:
-        # The run that makes this call is a retry itself; retries at each level of a call tree
-        # would multiply.
-        return Verdict.BELOW_A_RETRY
+        # The calling run is a retry itself; retries at each level of a call tree would multiply.
+        return Verdict.CALLED_BY_RETRY
     return Verdict.RETRY_FROM_BUDGET
--- a/src/cranklane/sidecar/routing/worker_choice.py
+++ b/src/cranklane/sidecar/routing/worker_choice.py
@@ -1,16 +1,12 @@
-"""Chooses the worker that a request is sent to.
+"""Load balancing: selects the worker for each request.
 
-Owns the rules of the choice and the subsets of large services. Relies on ``destinations`` for
-who is there, on ``cost`` for what a request costs at each, and on what each destination knows
-of its saturation and ejection:
+1. Candidates are the workers that are live, untried, unsaturated and unexpired.
+2. Ejected candidates are excluded unless all are ejected.
+3. The candidate with the lowest cost (``cost``) is selected; ties are broken at random.
 
-1. Only workers that are live, not yet tried, not saturated and not expired are candidates.
-2. Of these, ejected ones are taken only if all are ejected.
-3. The lowest cost wins; equal costs are decided at random.
-
-A service of more than ``CHOICES`` workers is not compared as a whole. A subset is compared
-first, and ``CHOICES`` more drawn at random if the best of it is not at ease. All workers are
-compared only if none of these can take the request.
+For services with more than ``SUBSET_SIZE`` workers, this applies first to a fixed subset. If
+its best worker is loaded, ejected or in bad condition, ``SUBSET_SIZE`` randomly sampled workers
+are added. All workers are compared only if none of these is a candidate.
 """
 
 from __future__ import annotations
@@ -25,28 +21,27 @@
 from cranklane.sidecar.routing.destination import Destination
 from cranklane.sidecar.routing.destinations import Destinations
 
-CHOICES = 16
-"""Workers that are compared in a large service. A choice: the best of them is hardly worse than
-the best of all, and a request costs the same in a service of any size."""
+SUBSET_SIZE = 16
+"""Workers compared per selection in a large service, which bounds the work per request."""
 
-OWN_ZONE_CHOICES = 8
-"""Workers of a subset that are of the own zone, where there are as many. A choice: half; with
-the own zone alone the other zones could not help a busy one."""
+SUBSET_LOCAL_ZONE_SIZE = 8
+"""Maximum number of local-zone workers in a subset. The rest are in other zones, which can
+then take load from a busy local zone."""
 
-WIDEN_LOAD = 0.5
-"""Load (requests for each slot) of the best of a subset from which more workers are compared.
-A choice: below it there is hardly any wait (``cost.expected_wait``)."""
+WIDEN_LOAD_THRESHOLD = 0.5
+"""Load, in requests per slot, of a subset's best worker from which more workers are compared.
+Below it, ``cost.expected_wait`` is close to zero."""
 
 _LIVE = MemberState.LIVE
-"""Looked up once: in Python 3.11 an enum's attribute takes 0.2 us, here for each worker."""
+"""Cached because enum attribute lookup is slow and this is compared for each worker."""
 
 
 class WorkerChoice:
-    """Chooses among the destinations of a service.
+    """Selects among the destinations of a service.
 
-    :param clock: monotonic seconds.
-    :param own: name of this machine's node.
-    :param zone: of this machine.
+    :param clock: returns monotonic time in seconds.
+    :param node_name: name of the local node.
+    :param zone: zone of the local node.
     """
 
     def __init__(
@@ -54,105 +49,106 @@
         destinations: Destinations,
         clock: Callable[[], float],
         random: Random,
-        own: str,
+        node_name: str,
         zone: str,
     ) -> None:
         self._destinations = destinations
         self._clock = clock
         self._random = random
-        self._own = own
+        self._node_name = node_name
         self._zone = zone
-        # Each subset with the members that it was made of.
+        # Members and the subset computed from them, by service.
         self._subsets: dict[str, tuple[Sequence[Destination], list[Destination]]] = {}
 
     def choose(self, service: str, tried: set[str], priority: int) -> Destination | None:
-        """Return the destination of the next attempt, or None when there is none.
+        """Return the destination of the next attempt, or None if there is no candidate.
 
-        :param tried: nodes that are left out.
-        :param priority: of the root request.
+        :param tried: names of nodes to exclude.
+        :param priority: priority of the root request.
         """
         now = self._clock()
         members = self._destinations.members(service)
-        if len(members) <= CHOICES:
+        if len(members) <= SUBSET_SIZE:
             return self._best(members, tried, priority, now)
         best = self._best(self._subset_of(service), tried, priority, now)
         if best is not None and is_at_ease(best, now):
             return best
-        drawn = self._random.sample(members, CHOICES)
+        sampled = self._random.sample(members, SUBSET_SIZE)
         if best is not None:
-            drawn.append(best)
-        return self._best(drawn, tried, priority, now) or self._best(members, tried, priority, now)
+            sampled.append(best)
+        return self._best(sampled, tried, priority, now) or self._best(
+            members, tried, priority, now
+        )
 
     def isolated_run_destination(
         self, service: str, identity: Identity, tried: set[str]
     ) -> Destination | None:
         """Return the destination that runs a suspected request in isolation, or None.
 
-        All senders that know the same workers name the same one (rendezvous hashing), and
-        suspects are spread over all workers.
+        Uses rendezvous hashing: sidecars with the same member list select the same worker for
+        a request, and different requests are spread over all workers.
         """
         now = self._clock()
         live = [
-            item
-            for item in self._destinations.members(service)
-            if item.state is _LIVE and item.node not in tried and item.ejected_until <= now
+            worker
+            for worker in self._destinations.members(service)
+            if worker.state is _LIVE and worker.node not in tried and worker.ejected_until <= now
         ]
-        return max(live, key=lambda item: crc32(identity + item.node.encode()), default=None)
+        return max(live, key=lambda worker: crc32(identity + worker.node.encode()), default=None)
 
     def all_saturated(self, service: str, priority: int) -> bool:
-        """Return whether every live worker has just refused for lack of capacity.
+        """Return whether every live worker is saturated for a priority.
 
-        :param priority: of the root request; what refusals of more important ones say counts.
+        :param priority: priority of the root request.
         """
         now = self._clock()
-        live = [item for item in self._destinations.members(service) if item.state is _LIVE]
-        return bool(live) and all(item.is_saturated(now, priority) for item in live)
+        live = [worker for worker in self._destinations.members(service) if worker.state is _LIVE]
+        return bool(live) and all(worker.is_saturated(now, priority) for worker in live)
 
     def _best(
         self, members: Sequence[Destination], tried: set[str], priority: int, now: float
     ) -> Destination | None:
-        """Return the candidate of the lowest cost."""
+        """Return the candidate with the lowest cost, or None."""
         candidates = [
-            item
-            for item in members
-            if item.state is _LIVE
-            and item.node not in tried
-            and not item.is_saturated(now, priority)
-            and not item.is_expired(now)
+            worker
+            for worker in members
+            if worker.state is _LIVE
+            and worker.node not in tried
+            and not worker.is_saturated(now, priority)
+            and not worker.is_expired(now)
         ]
         if not candidates:
             return None
-        healthy = [item for item in candidates if item.ejected_until <= now]
+        healthy = [worker for worker in candidates if worker.ejected_until <= now]
         zone, random = self._zone, self._random.random
-        return min(healthy or candidates, key=lambda item: (cost(item, zone, now), random()))
+        return min(healthy or candidates, key=lambda worker: (cost(worker, zone, now), random()))
 
     def _subset_of(self, service: str) -> list[Destination]:
-        """Return the workers of a large service that this process turns to first.
+        """Return the subset of a large service's workers that this sidecar prefers.
 
-        The same ones as long as they are there, so that connections are used again and their
-        run times are learnt. Each process has others, by a hash of both names: at 195 callers
-        of 93 workers the most covered worker is in at most 1.5 times as many subsets as the
-        mean (tests/test_subsets.py).
+        The subset changes only with the members, so that connections are reused and run times
+        accumulate. Sidecars have different subsets, by a hash of the node names of sidecar and
+        worker, which together cover all workers evenly.
         """
         members = self._destinations.members(service)
-        known = self._subsets.get(service)
-        if known is not None and known[0] is members:
-            return known[1]
-        ranked = sorted(members, key=self._rank)
-        near = [item for item in ranked if item.zone == self._zone][:OWN_ZONE_CHOICES]
-        far = [item for item in ranked if item.zone != self._zone]
-        subset = near + far[: CHOICES - len(near)]
+        cached = self._subsets.get(service)
+        if cached is not None and cached[0] is members:
+            return cached[1]
+        ranked = sorted(members, key=self._rendezvous_rank)
+        local = [worker for worker in ranked if worker.zone == self._zone][:SUBSET_LOCAL_ZONE_SIZE]
+        remote = [worker for worker in ranked if worker.zone != self._zone]
+        subset = local + remote[: SUBSET_SIZE - len(local)]
         self._subsets[service] = (members, subset)
         return subset
 
-    def _rank(self, item: Destination) -> int:
-        return crc32(f"{self._own}/{item.node}".encode())
+    def _rendezvous_rank(self, destination: Destination) -> int:
+        return crc32(f"{self._node_name}/{destination.node}".encode())
 
 
-def is_at_ease(item: Destination, now: float) -> bool:
-    """Return whether there is no need to look for a better destination than this one."""
+def is_at_ease(destination: Destination, now: float) -> bool:
+    """Return whether a destination is lightly loaded, not ejected and in good condition."""
     return (
-        item.load() < WIDEN_LOAD
-        and item.ejected_until <= now
-        and condition_factor(item, now) <= 1.0
+        destination.load() < WIDEN_LOAD_THRESHOLD
+        and destination.ejected_until <= now
+        and condition_factor(destination, now) <= 1.0
     )
--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -106,7 +106,7 @@
         Member(1, 1, MemberState.LIVE, "n", service="s", zone="a", address="127.0.0.1:1", slots=4)
     )
     destination = choice.choose("s", set(), 0)
-    destination.refused_at_capacity(clock.now, 1)
+    destination.record_capacity_refusal(clock.now, 1)
     assert choice.choose("s", set(), 0) is destination
     assert choice.choose("s", set(), 1) is None
     assert choice.all_saturated("s", 2)
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -6,8 +6,8 @@
 
 from cranklane.outcome import Outcome, Reason
 from cranklane.sidecar.routing.ejection import (
-    EJECTION_SECONDS,
-    FAILURES_BEFORE_EJECTION,
+    CONSECUTIVE_FAILURES_BEFORE_EJECTION,
+    EJECTION_SECONDS_PER_FAILURE,
     MAX_EJECTION_SECONDS,
     Failure,
     ejection_seconds,
@@ -44,11 +44,14 @@
 
 @pytest.mark.parametrize("failure", [Failure.WORKER_UNREACHABLE, Failure.SIDECAR_UNREACHABLE])
 def test_an_unreachable_destination_is_ejected_at_once_and_longer_each_time(failure):
-    assert ejection_seconds(failure, 1) == EJECTION_SECONDS
-    assert ejection_seconds(failure, 2) == 2 * EJECTION_SECONDS
+    assert ejection_seconds(failure, 1) == EJECTION_SECONDS_PER_FAILURE
+    assert ejection_seconds(failure, 2) == 2 * EJECTION_SECONDS_PER_FAILURE
     assert ejection_seconds(failure, 100) == MAX_EJECTION_SECONDS
 
 
 def test_other_failures_eject_after_some_in_a_row():
-    assert ejection_seconds(Failure.COUNTED, FAILURES_BEFORE_EJECTION - 1) == 0.0
-    assert ejection_seconds(Failure.COUNTED, FAILURES_BEFORE_EJECTION) == 3 * EJECTION_SECONDS
+    assert ejection_seconds(Failure.COUNTED, CONSECUTIVE_FAILURES_BEFORE_EJECTION - 1) == 0.0
+    assert (
+        ejection_seconds(Failure.COUNTED, CONSECUTIVE_FAILURES_BEFORE_EJECTION)
+        == 3 * EJECTION_SECONDS_PER_FAILURE
+    )
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -15,9 +15,9 @@
 from cranklane.sidecar.request.call_tree import Root
 from cranklane.sidecar.routing.dispatcher import Dispatcher, DispatcherParts
 from cranklane.sidecar.routing.retry_policy import (
-    CALL_IS_OVER,
+    CALL_OVER_VERDICTS,
     MAX_CAPACITY_REFUSALS,
-    MAX_SIDECARS,
+    MAX_SIDECARS_TRIED,
     Verdict,
     decide,
 )
@@ -30,7 +30,7 @@
 CALL = Call("id", ROUTE, "s", 99.0, DEADLINE, False, Framing.LENGTH, 0, LINES, b"", ROOT)
 ONCE_ONLY = CALL._replace(route=replace(ROUTE, idempotent=False))
 STREAMED = CALL._replace(rest=lambda: b"")
-BELOW_A_RETRY = CALL._replace(root=replace(ROOT, is_retry=True))
+CALLED_BY_RETRY = CALL._replace(root=replace(ROOT, is_retry=True))
 FULL = refusal(Reason.QUEUE_FULL)
 LOST = unknown(Reason.PEER_LOST)
 SHED = refusal(Reason.WORKER_SHED, arrived=True)
@@ -63,7 +63,7 @@
 def test_a_suspected_request_that_is_quarantined_meanwhile_is_not_sent_again():
     crash = unknown(Reason.WORKER_ENDED)
     meanwhile = verdict_on(crash, quarantined=True, suspected=True)
-    assert meanwhile is Verdict.QUARANTINED_MEANWHILE
+    assert meanwhile is Verdict.NEWLY_QUARANTINED
     assert verdict_on(crash, suspected=True) is Verdict.RETRY_FROM_BUDGET
 
 
@@ -89,7 +89,7 @@
 
 
 def test_an_error_too_large_to_keep_is_final():
-    assert verdict_on(replace(ERROR, rest=iter(()))) is Verdict.ANSWER_STREAMS
+    assert verdict_on(replace(ERROR, rest=iter(()))) is Verdict.ANSWER_NOT_BUFFERED
 
 
 @pytest.mark.parametrize("reply", [ERROR, LOST, unknown(Reason.ANSWER_CUT)])
@@ -103,25 +103,25 @@
     assert verdict_on(reply, STREAMED) is Verdict.BODY_CONSUMED
 
 
-@pytest.mark.parametrize("call", [CALL, ONCE_ONLY, STREAMED, BELOW_A_RETRY])
+@pytest.mark.parametrize("call", [CALL, ONCE_ONLY, STREAMED, CALLED_BY_RETRY])
 def test_a_refusal_that_reached_no_worker_costs_nothing(call):
     assert verdict_on(FULL, call) is Verdict.RETRY
 
 
 def test_some_refusals_for_lack_of_capacity_are_the_answer():
     last = MAX_CAPACITY_REFUSALS - 1
-    assert verdict_on(FULL, refusals=last) is Verdict.CAPACITY_REFUSALS
+    assert verdict_on(FULL, refusals=last) is Verdict.CAPACITY_REFUSAL_LIMIT
     assert verdict_on(refusal(Reason.DEADLINE_TOO_NEAR), refusals=last) is (
-        Verdict.CAPACITY_REFUSALS
+        Verdict.CAPACITY_REFUSAL_LIMIT
     )
     assert verdict_on(FULL, refusals=last - 1) is Verdict.RETRY
     assert verdict_on(refusal(Reason.DRAINING), refusals=last) is Verdict.RETRY
 
 
 def test_after_enough_sidecars_a_refusal_is_the_answer():
-    asked = {f"n{number}" for number in range(MAX_SIDECARS)}
+    asked = {f"n{number}" for number in range(MAX_SIDECARS_TRIED)}
     draining = refusal(Reason.DRAINING)
-    assert verdict_on(draining, tried=asked) is Verdict.SIDECARS_ASKED
+    assert verdict_on(draining, tried=asked) is Verdict.SIDECAR_LIMIT
     assert verdict_on(draining, tried=set(list(asked)[1:])) is Verdict.RETRY
 
 
@@ -130,19 +130,19 @@
 
 
 def test_a_refusal_is_the_answer_when_no_further_arrival_is_allowed():
-    assert verdict_on(FULL, attempts=2) is Verdict.ATTEMPTS_SPENT
+    assert verdict_on(FULL, attempts=2) is Verdict.ATTEMPTS_EXHAUSTED
     assert verdict_on(FULL, attempts=1) is Verdict.RETRY
 
 
 @pytest.mark.parametrize("reply", [LOST, SHED, ERROR])
 def test_arrivals_are_bounded_by_the_route(reply):
-    assert verdict_on(reply, attempts=2) is Verdict.ATTEMPTS_SPENT
+    assert verdict_on(reply, attempts=2) is Verdict.ATTEMPTS_EXHAUSTED
     assert verdict_on(reply, attempts=1) is Verdict.RETRY_FROM_BUDGET
 
 
 @pytest.mark.parametrize("reply", [LOST, SHED, ERROR])
 def test_a_call_of_a_retried_run_is_not_sent_again(reply):
-    assert verdict_on(reply, BELOW_A_RETRY) is Verdict.BELOW_A_RETRY
+    assert verdict_on(reply, CALLED_BY_RETRY) is Verdict.CALLED_BY_RETRY
 
 
 @pytest.mark.parametrize("call", [CALL, ONCE_ONLY, STREAMED])
@@ -154,19 +154,19 @@
     """Each state that fulfils all rows from one on gets the verdict of the first of them."""
     everything = replace(LOST, reason=Reason.RUN_ALONE)
     state = {"attempts": 9, "refusals": 9, "suspected": True, "quarantined": True}
-    call = ONCE_ONLY._replace(rest=lambda: b"", root=BELOW_A_RETRY.root)
-    assert verdict_on(everything, call, DEADLINE, cancelled=True, **state) is CALL_IS_OVER[0]
-    assert verdict_on(everything, call, DEADLINE, **state) is CALL_IS_OVER[1]
-    assert verdict_on(everything, call, **state) is CALL_IS_OVER[2]
-    assert verdict_on(LOST, call, **state) is CALL_IS_OVER[3]
+    call = ONCE_ONLY._replace(rest=lambda: b"", root=CALLED_BY_RETRY.root)
+    assert verdict_on(everything, call, DEADLINE, cancelled=True, **state) is CALL_OVER_VERDICTS[0]
+    assert verdict_on(everything, call, DEADLINE, **state) is CALL_OVER_VERDICTS[1]
+    assert verdict_on(everything, call, **state) is CALL_OVER_VERDICTS[2]
+    assert verdict_on(LOST, call, **state) is CALL_OVER_VERDICTS[3]
     state["quarantined"] = False
     assert verdict_on(LOST, call, **state) is Verdict.NOT_IDEMPOTENT
     call = call._replace(route=ROUTE)
     assert verdict_on(LOST, call, **state) is Verdict.BODY_CONSUMED
     call = call._replace(rest=None)
-    assert verdict_on(LOST, call, **state) is Verdict.ATTEMPTS_SPENT
+    assert verdict_on(LOST, call, **state) is Verdict.ATTEMPTS_EXHAUSTED
     state["attempts"] = 1
-    assert verdict_on(LOST, call, **state) is Verdict.BELOW_A_RETRY
+    assert verdict_on(LOST, call, **state) is Verdict.CALLED_BY_RETRY
 
 
 def test_a_crash_makes_a_request_a_suspect():
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -11,7 +11,11 @@
 from cranklane.records.messages import Member, MemberDelta
 from cranklane.sidecar.request.attempt import Load
 from cranklane.sidecar.routing.destinations import Destinations
-from cranklane.sidecar.routing.worker_choice import CHOICES, OWN_ZONE_CHOICES, WorkerChoice
+from cranklane.sidecar.routing.worker_choice import (
+    SUBSET_LOCAL_ZONE_SIZE,
+    SUBSET_SIZE,
+    WorkerChoice,
+)
 from cranklane_lab.evidence.trial import ZONES
 
 CALLERS = 195
@@ -81,8 +85,8 @@
 def test_half_of_a_subset_is_of_the_own_zone_and_it_stays_the_same():
     one = Caller(3, everyone())
     subset = one.subset()
-    assert len(subset) == CHOICES
-    assert sum(item.zone == ZONES[3] for item in subset) == OWN_ZONE_CHOICES
+    assert len(subset) == SUBSET_SIZE
+    assert sum(item.zone == ZONES[3] for item in subset) == SUBSET_LOCAL_ZONE_SIZE
     one.apply(MemberDelta(False, [member(number, 2) for number in range(WORKERS)]))
     assert one.subset() == subset
 
@@ -92,12 +96,12 @@
 
 
 def test_a_caller_with_little_to_do_meets_few_workers():
-    assert len(choices(Caller(1, everyone()), 400)) <= CHOICES
+    assert len(choices(Caller(1, everyone()), 400)) <= SUBSET_SIZE
 
 
 def loaded(one, now, running):
     for item in one.subset():
-        item.take_load(now, Load(running, 0, SLOTS))
+        item.update_load(now, Load(running, 0, SLOTS))
 
 
 @pytest.mark.parametrize("trouble", ["loaded", "ejected", "sick", "full", "draining"])
@@ -106,14 +110,14 @@
     one = Caller(1, everyone(), lambda: now)
     for item in one.subset():
         if trouble == "loaded":
-            item.take_load(now, Load(SLOTS - 1, 0, SLOTS))
+            item.update_load(now, Load(SLOTS - 1, 0, SLOTS))
         elif trouble == "ejected":
             item.ejected_until = now + 9.0
         elif trouble == "sick":
             for _ in range(20):
                 item.slowness.sample(now, 9.0)
         elif trouble == "full":
-            item.refused_at_capacity(now, 0)
+            item.record_capacity_refusal(now, 0)
         else:
             item.state = MemberState.DRAINING
     subset = {item.node for item in one.subset()}
@@ -126,7 +130,7 @@
     asked = 0
     for one in callers:
         for item in one.destinations.members("s"):
-            item.take_load(50.0, busy)
+            item.update_load(50.0, busy)
         one.apply(MemberDelta(False, [member(WORKERS)]))
         asked += one.choose().node == f"worker-{WORKERS}"
     assert asked >= 10
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -11,16 +11,16 @@
 from cranklane.records.messages import Member, MemberDelta
 from cranklane.sidecar.request.attempt import Load
 from cranklane.sidecar.routing.cost import (
-    FAULTS_COST,
-    OTHER_ZONE_FACTOR,
-    SPREAD_COST,
+    ALL_FAULTS_COST,
+    CROSS_ZONE_FACTOR,
+    FULL_LOAD_COST,
     condition_factor,
     cost,
     expected_wait,
 )
-from cranklane.sidecar.routing.destination import SATURATED_SECONDS, UNCONFIRMED_SECONDS
+from cranklane.sidecar.routing.destination import SATURATED_SECONDS, UNCONFIRMED_EXPIRY_SECONDS
 from cranklane.sidecar.routing.destinations import Destinations
-from cranklane.sidecar.routing.ejection import EJECTION_SECONDS, Failure
+from cranklane.sidecar.routing.ejection import EJECTION_SECONDS_PER_FAILURE, Failure
 from cranklane.sidecar.routing.worker_choice import WorkerChoice
 from cranklane.sidecar.worker.condition import WELL, Condition
 from cranklane.sidecar.worker.slowness import TOLERATED
@@ -88,7 +88,7 @@
 def test_a_saturated_worker_gets_nothing_as_important_or_less_for_a_moment():
     known = Known()
     for node in NODES:
-        known[node].refused_at_capacity(known.clock.now, 1)
+        known[node].record_capacity_refusal(known.clock.now, 1)
     assert known.chosen(priority=0) == set(NODES)
     assert known.chosen(priority=1) == set()
     assert known.choice.all_saturated("s", 2)
@@ -99,15 +99,15 @@
 
 def test_the_most_important_refusal_counts_while_a_worker_is_saturated():
     known = Known()
-    known["a"].refused_at_capacity(known.clock.now, 1)
-    known["a"].refused_at_capacity(known.clock.now, 3)
+    known["a"].record_capacity_refusal(known.clock.now, 1)
+    known["a"].record_capacity_refusal(known.clock.now, 3)
     assert known["a"].is_saturated(known.clock.now, 1)
 
 
 def test_a_worker_that_nothing_confirms_any_more_is_no_candidate():
     known = Known()
-    known["a"].unconfirmed(known.clock.now)
-    known.clock.now += UNCONFIRMED_SECONDS
+    known["a"].mark_unconfirmed(known.clock.now)
+    known.clock.now += UNCONFIRMED_EXPIRY_SECONDS
     assert known.chosen() == set(NODES)
     known.clock.now += 0.001
     assert known.chosen() == {"b", "c"}
@@ -119,7 +119,7 @@
     known["b"].failed(known.clock.now, Failure.WORKER_UNREACHABLE)
     assert known.chosen() == {"c"}
     assert known.chosen(tried=("c",)) == {"a", "b"}
-    known.clock.now += EJECTION_SECONDS
+    known.clock.now += EJECTION_SECONDS_PER_FAILURE
     assert known.chosen() == set(NODES)
 
 
@@ -153,19 +153,19 @@
 def test_an_idle_worker_of_the_own_zone_costs_one_run():
     known = Known()
     assert cost(known["a"], "z", known.clock.now) == 1.0
-    assert cost(known["a"], "y", known.clock.now) == OTHER_ZONE_FACTOR
+    assert cost(known["a"], "y", known.clock.now) == CROSS_ZONE_FACTOR
 
 
 def test_load_costs_the_expected_wait_and_a_run_for_all_slots():
     known = Known()
-    known["a"].take_load(known.clock.now, Load(5, 0, SLOTS))
-    expected = 1.0 + expected_wait(0.5, SLOTS) + SPREAD_COST * 0.5
+    known["a"].update_load(known.clock.now, Load(5, 0, SLOTS))
+    expected = 1.0 + expected_wait(0.5, SLOTS) + FULL_LOAD_COST * 0.5
     assert cost(known["a"], "z", known.clock.now) == pytest.approx(expected)
 
 
 def test_requests_sent_since_the_last_report_count_as_load():
     known = Known()
-    known["a"].take_load(known.clock.now, Load(2, 1, SLOTS))
+    known["a"].update_load(known.clock.now, Load(2, 1, SLOTS))
     known["a"].opened()
     assert known["a"].load() == pytest.approx(0.4)
     known["a"].closed()
@@ -173,17 +173,17 @@
 
 
 @pytest.mark.parametrize(
-    ("reported", "factor"),
+    ("reported_requests", "factor"),
     [
         (WELL, 1.0),
         (Condition(0.0, 3 * TOLERATED), 3.0),
-        (Condition(1.0, 1.0), 1.0 + FAULTS_COST),
-        (Condition(0.5, 3 * TOLERATED), 3.0 + FAULTS_COST / 2),
+        (Condition(1.0, 1.0), 1.0 + ALL_FAULTS_COST),
+        (Condition(0.5, 3 * TOLERATED), 3.0 + ALL_FAULTS_COST / 2),
     ],
 )
-def test_a_run_at_a_worker_in_bad_condition_costs_more(reported, factor):
+def test_a_run_at_a_worker_in_bad_condition_costs_more(reported_requests, factor):
     known = Known()
-    known["a"].take_condition(known.clock.now, reported)
+    known["a"].take_condition(known.clock.now, reported_requests)
     assert condition_factor(known["a"], known.clock.now) == pytest.approx(factor)
 
 
@@ -198,8 +198,8 @@
 def test_a_condition_that_control_repeats_is_not_taken_as_new():
     known = Known()
     sick = Condition(0.5, 1.0)
-    known["a"].take_control_condition(50.0, sick)
-    known["a"].take_control_condition(60.0, replace(sick))
+    known["a"].update_control_condition(50.0, sick)
+    known["a"].update_control_condition(60.0, replace(sick))
     assert known["a"].condition_at == 50.0
-    known["a"].take_control_condition(70.0, WELL)
+    known["a"].update_control_condition(70.0, WELL)
     assert known["a"].condition_at == 70.0
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -31,7 +31,7 @@
             )
         )
         chosen = next(item for item in destinations.members("s") if item.node == name)
-        chosen.take_load(1.0, Load(running, 0, SLOTS))
+        chosen.update_load(1.0, Load(running, 0, SLOTS))
     return WorkerChoice(destinations, lambda: 1.0, Random(1), "own", "a")
 
 
