--- a/src/cranklane/sidecar/routing/feedback.py
+++ b/src/cranklane/sidecar/routing/feedback.py
@@ -57,11 +57,11 @@
             destination.state = MemberState.DRAINING
         failure = failure_of(reply.outcome, reply.reason)
         if failure is Failure.SIDECAR_UNREACHABLE:
-            self._eject_until_connected(destination, now)
+            self._eject_until_reached(destination, now)
         elif failure is not Failure.NONE:
             destination.failed(now, failure)
 
-    def _eject_until_connected(self, destination: Destination, now: float) -> None:
+    def _eject_until_reached(self, destination: Destination, now: float) -> None:
         """Eject a destination until a connection succeeds, and start probing it."""
         is_ejected = destination.ejected_until > now
         destination.failed(now, Failure.SIDECAR_UNREACHABLE)
--- a/src/cranklane/sidecar/routing/peer_client.py
+++ b/src/cranklane/sidecar/routing/peer_client.py
@@ -70,7 +70,7 @@
         """
         started_at = self._runtime.monotonic()
         try:
-            connection = self._acquire(address)
+            connection = self._take(address)
         except (OSError, ConnectionLostError, MalformedRecordError):
             return refusal(Reason.PEER_UNREACHABLE)
         records = connection.records
@@ -94,7 +94,7 @@
             reply.rest = self._stream_body(address, connection)
         return reply
 
-    def _acquire(self, address: Address) -> _Connection:
+    def _take(self, address: Address) -> _Connection:
         now = self._runtime.monotonic()
         idle = self._idle.get(address)
         while idle:
@@ -160,7 +160,7 @@
         The caller is responsible for sending the update again.
         """
         try:
-            connection = self._acquire(address)
+            connection = self._take(address)
         except (OSError, ConnectionLostError, MalformedRecordError):
             return None
         try:
@@ -181,7 +181,7 @@
     def can_connect(self, address: Address) -> bool:
         """Return whether a connection to an address can be opened; it is added to the pool."""
         try:
-            connection = self._acquire(address)
+            connection = self._take(address)
             connection.records.flush()
         except (OSError, ConnectionLostError):
             # Not logged: the caller repeats the probe until it succeeds.
--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -1,4 +1,4 @@
-"""A call that a worker makes counts as much as the request it is made for."""
+"""A worker's call gets the priority, deadline and retry status of its root request."""
 
 from __future__ import annotations
 
@@ -27,12 +27,11 @@
     return 0.0005
 
 
-def order_at_a_full_worker(first, later, gap=0.0, separator=".", objective_ms=1000):
-    """Make two calls, each from a run of its own, wait for one slot; return their order.
+def run_order_at_a_full_worker(first, later, gap=0.0, separator=".", objective_ms=1000):
+    """Have calls from two runs queue for one slot and return the order in which they run.
 
-    :param first: route and id of the run that calls first.
+    :param first: route, id and start order of the run that calls first; ``later`` likewise.
     :param gap: seconds between the starts of the two runs.
-    :param objective_ms: of the requests that these runs answer.
     """
 
     def scenario(world):
@@ -69,24 +68,24 @@
 
 
 def test_the_call_for_the_more_important_request_goes_first():
-    order = order_at_a_full_worker(("view", "v", 0), ("pay", "p", 1))
+    order = run_order_at_a_full_worker(("view", "v", 0), ("pay", "p", 1))
     assert order == ["holder", "p.1", "v.1"]
 
 
 def test_the_call_for_the_older_request_goes_first():
     runs = (("view", "young", 1), ("view", "old", 0))
-    order = order_at_a_full_worker(*runs, gap=1.0, objective_ms=3000)
+    order = run_order_at_a_full_worker(*runs, gap=1.0, objective_ms=3000)
     assert order == ["holder", "old.1", "young.1"]
 
 
 def test_the_call_for_a_request_that_can_still_be_in_time_goes_before_a_late_one():
     runs = (("view", "late", 0), ("view", "young", 1))
-    order = order_at_a_full_worker(*runs, gap=1.0, objective_ms=800)
+    order = run_order_at_a_full_worker(*runs, gap=1.0, objective_ms=800)
     assert order == ["holder", "young.1", "late.1"]
 
 
-def test_a_call_that_names_no_run_counts_for_itself():
-    order = order_at_a_full_worker(("view", "v", 0), ("pay", "p", 1), separator="-")
+def test_a_call_that_names_no_run_is_treated_as_a_root_request():
+    order = run_order_at_a_full_worker(("view", "v", 0), ("pay", "p", 1), separator="-")
     assert order == ["holder", "v-1", "p-1"]
 
 
@@ -98,11 +97,11 @@
         return self.now
 
 
-def test_no_room_for_the_less_important_says_nothing_of_the_more_important():
+def test_a_refusal_of_low_priority_does_not_saturate_higher_priorities():
     clock = Clock()
-    known = Destinations(clock, "own")
-    choice = WorkerChoice(known, clock, Random(1), "own", "a")
-    known.set_own(
+    destinations = Destinations(clock, "own")
+    choice = WorkerChoice(destinations, clock, Random(1), "own", "a")
+    destinations.set_own(
         Member(1, 1, MemberState.LIVE, "n", service="s", zone="a", address="127.0.0.1:1", slots=4)
     )
     destination = choice.choose("s", set(), 0)
@@ -115,10 +114,10 @@
     assert choice.choose("s", set(), 2) is destination
 
 
-def refused_early_after(deep_slots, count=250):
-    """Return how many of some requests are refused early after runs that all failed.
+def early_refusals_after(deep_slots, count=250):
+    """Return the early refusals among 20 requests after runs that all failed.
 
-    Each run makes one call, which finds room only if the worker called has slots.
+    Each run makes one call, which is admitted only if the called worker has slots.
     """
 
     def scenario(world):
@@ -147,18 +146,18 @@
     return simulate(1, delay, scenario)
 
 
-def test_failed_runs_whose_calls_found_room_lower_nothing():
-    assert refused_early_after(deep_slots=4) == 0
+def test_failed_runs_whose_calls_found_capacity_keep_the_admitted_fraction():
+    assert early_refusals_after(deep_slots=4) == 0
 
 
 def test_failed_runs_whose_calls_found_no_capacity_lower_the_admitted_fraction():
-    assert refused_early_after(deep_slots=0) > 10
+    assert early_refusals_after(deep_slots=0) > 10
 
 
-def arrivals_of_a_failing_call(run_is_repeated):
-    """Return the arrivals at the workers below of one call, whose first run fails.
+def status_and_attempts_of_a_failing_call(run_is_retried):
+    """Return the status of a call whose first attempt fails, and its number of attempts.
 
-    :param run_is_repeated: whether the run that makes it is itself a second one.
+    :param run_is_retried: whether the run that makes the call is itself a retry.
     """
 
     def scenario(world):
@@ -170,14 +169,14 @@
         table = route_table(1, 0, ROUTES, ("top", "deep"))
         assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
         gevent.sleep(2.0)
-        first.worker.state.fail = int(run_is_repeated)
+        first.worker.state.fail = int(run_is_retried)
         second.worker.state.seconds = 1.0
-        first.worker.state.seconds = 0.05 if run_is_repeated else 1.0
+        first.worker.state.seconds = 0.05 if run_is_retried else 1.0
         root = gevent.spawn(mesh.request, first, "/view/", name="run")
         gevent.sleep(0.2)
         for machine in deep:
             machine.worker.state.fail = 1
-        running = second if run_is_repeated else first
+        running = second if run_is_retried else first
         status = mesh.request(running, "/look/", name="run.1").status
         assert root.get().status == 200
         return status, sum(machine.worker.state.arrivals for machine in deep)
@@ -186,11 +185,11 @@
 
 
 def test_what_a_repeated_run_calls_is_not_repeated_again():
-    assert arrivals_of_a_failing_call(run_is_repeated=True) == (500, 1)
-    assert arrivals_of_a_failing_call(run_is_repeated=False) == (500, 2)
+    assert status_and_attempts_of_a_failing_call(run_is_retried=True) == (500, 1)
+    assert status_and_attempts_of_a_failing_call(run_is_retried=False) == (500, 2)
 
 
-def test_a_run_that_failed_for_want_of_room_is_not_repeated():
+def test_a_run_that_failed_for_lack_of_downstream_capacity_is_not_retried():
     def scenario(world):
         mesh = Mesh(world)
         mesh.start_controllers(3)
@@ -213,14 +212,14 @@
     assert simulate(1, delay, scenario) == 1
 
 
-WAITED_SECONDS = 0.5
-"""Longer than a call may wait by its own objective of 0.3 s, shorter than its root can spare."""
+WAIT_SECONDS = 0.5
+"""Exceeds the wait limit by the call's own objective of 0.3 s, but not that by its root."""
 
 
-def end_of_a_call_that_waits(root_objective_ms):
-    """Return the status of a call that finds the only slot taken for a while.
+def status_of_a_waiting_call(root_objective_ms):
+    """Return the status of a call that finds the only slot busy for ``WAIT_SECONDS``.
 
-    :param root_objective_ms: of the request for whose sake it is made.
+    :param root_objective_ms: objective and timeout of the root request.
     """
 
     def scenario(world):
@@ -239,7 +238,7 @@
         assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
         gevent.sleep(2.0)
         top.worker.state.seconds = ROOT_SECONDS
-        deep.worker.state.seconds = WAITED_SECONDS
+        deep.worker.state.seconds = WAIT_SECONDS
         gevent.spawn(mesh.request, top, "/view/", name="run")
         gevent.sleep(0.05)
         gevent.spawn(mesh.request, top, "/look/", name="run.1")
@@ -249,9 +248,9 @@
     return simulate(1, delay, scenario)
 
 
-def test_a_call_waits_as_long_as_its_root_can_spare():
-    assert end_of_a_call_that_waits(root_objective_ms=3000) == 200
+def test_a_call_waits_for_the_spare_time_of_its_root():
+    assert status_of_a_waiting_call(root_objective_ms=3000) == 200
 
 
-def test_a_call_whose_root_is_in_a_hurry_is_refused_at_once():
-    assert end_of_a_call_that_waits(root_objective_ms=400) == 503
+def test_a_call_of_a_root_with_little_time_left_is_refused():
+    assert status_of_a_waiting_call(root_objective_ms=400) == 503
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Which reply a caller gets after several attempts, with stand-ins for the workers."""
+"""Reply to the caller after one or more attempts, with scripted workers."""
 
 from __future__ import annotations
 
@@ -29,26 +29,26 @@
     )
 
 
-class Budget(RetryBudget):
-    """A budget that pays for everything and counts what it is asked."""
+class RecordingBudget(RetryBudget):
+    """A budget that allows every retry and counts its calls."""
 
     def __init__(self):
         super().__init__(RetryBound(1, 1, 1), lambda: NOW, None, lambda: FleetSize(1, 0.0))
-        self.earned = self.charged = self.taken = 0
+        self.earn_count = self.charge_count = self.take_count = 0
 
     def earn(self, service):
-        self.earned += 1
+        self.earn_count += 1
 
     def charge(self, service):
-        self.charged += 1
+        self.charge_count += 1
 
     def take(self, service):
-        self.taken += 1
+        self.take_count += 1
         return True
 
 
-class Workers:
-    """Workers that are asked in turn, each of which gives the next of some replies."""
+class ScriptedWorkers:
+    """Workers that give the scripted replies in order."""
 
     def __init__(self, *replies, saturated=False):
         self.replies = list(replies)
@@ -56,14 +56,14 @@
         self.saturated = saturated
         self.requests = []
         self.waits = 0
-        self.budget = Budget()
+        self.budget = RecordingBudget()
 
     def choose(self, service, tried, priority):
-        left = [node for node in self.nodes if node not in tried]
-        if not left:
+        untried = [node for node in self.nodes if node not in tried]
+        if not untried:
             return None
         address = ("10.0.0.1", 80)
-        return Destination(left[0], 1, 1, service, "z", address, "i", MemberState.LIVE, 4)
+        return Destination(untried[0], 1, 1, service, "z", address, "i", MemberState.LIVE, 4)
 
     def all_saturated(self, service, priority):
         return self.saturated
@@ -76,8 +76,8 @@
         self.requests.append(attempt.request)
         return self.replies.pop(0)
 
-    def result(self, asked=None):
-        parts = DispatcherParts(
+    def result(self, request_call=None):
+        dependencies = DispatcherParts(
             self,
             self,
             None,
@@ -88,8 +88,8 @@
             lambda *_: None,
         )
         runtime = SimpleNamespace(monotonic=lambda: NOW)
-        self.progress = CallProgress(asked or call())
-        return Dispatcher(runtime, parts, "own", "caller").run(self.progress)
+        self.progress = CallProgress(request_call or call())
+        return Dispatcher(runtime, dependencies, "own", "caller").run(self.progress)
 
 
 def answer(status):
@@ -97,57 +97,65 @@
 
 
 def test_an_answer_is_passed_on_at_once():
-    workers = Workers(answer(200), answer(404))
+    workers = ScriptedWorkers(answer(200), answer(404))
     assert workers.result().status == 200
     assert len(workers.requests) == 1
 
 
 def test_an_answer_replaces_an_error_and_a_refusal():
-    assert Workers(answer(500), answer(200)).result().status == 200
-    assert Workers(refusal(Reason.QUEUE_FULL), answer(200)).result().status == 200
+    assert ScriptedWorkers(answer(500), answer(200)).result().status == 200
+    assert ScriptedWorkers(refusal(Reason.QUEUE_FULL), answer(200)).result().status == 200
 
 
 @pytest.mark.parametrize("later", [refusal(Reason.DRAINING), unknown(Reason.ANSWER_CUT)])
 def test_an_error_is_kept_when_no_other_worker_answers(later):
-    result = Workers(answer(500), later).result()
+    result = ScriptedWorkers(answer(500), later).result()
     assert (result.outcome, result.status) == (Outcome.ANSWERED, 500)
 
 
-def test_a_refusal_after_an_attempt_that_may_have_run_is_of_unknown_outcome():
-    result = Workers(unknown(Reason.ANSWER_CUT), refusal(Reason.DRAINING)).result()
+def test_a_refusal_after_an_attempt_that_may_have_run_has_unknown_outcome():
+    result = ScriptedWorkers(unknown(Reason.ANSWER_CUT), refusal(Reason.DRAINING)).result()
     assert (result.outcome, result.reason) == (Outcome.UNKNOWN, Reason.DRAINING)
 
 
-def test_without_a_worker_the_service_has_no_members():
-    workers = Workers()
+def test_a_service_without_workers_is_refused_as_without_members():
+    workers = ScriptedWorkers()
     result = workers.result()
     assert (result.outcome, result.reason) == (Outcome.NOT_RUN, Reason.NO_MEMBERS)
     assert result.retry_after_ms > 0
     assert workers.waits == 1
 
 
-def test_where_all_are_saturated_nobody_is_waited_for():
-    workers = Workers(saturated=True)
+def test_a_request_to_saturated_workers_is_refused_without_waiting():
+    workers = ScriptedWorkers(saturated=True)
     result = workers.result()
     assert (result.outcome, result.reason) == (Outcome.NOT_RUN, Reason.QUEUE_FULL)
     assert workers.waits == 0
 
 
-def test_the_second_worker_reached_knows_that_it_is_a_retry():
-    workers = Workers(refusal(Reason.QUEUE_FULL), unknown(Reason.ANSWER_CUT), answer(200))
+def test_the_second_attempt_to_reach_a_worker_is_marked_as_a_retry():
+    workers = ScriptedWorkers(refusal(Reason.QUEUE_FULL), unknown(Reason.ANSWER_CUT), answer(200))
     workers.result()
     assert [request.is_retry for request in workers.requests] == [False, False, True]
-    assert (workers.budget.earned, workers.budget.charged, workers.budget.taken) == (1, 0, 1)
+    assert (workers.budget.earn_count, workers.budget.charge_count, workers.budget.take_count) == (
+        1,
+        0,
+        1,
+    )
 
 
 def test_a_call_of_a_retried_run_is_charged_and_earns_nothing():
-    workers = Workers(answer(500), answer(200))
+    workers = ScriptedWorkers(answer(500), answer(200))
     assert workers.result(call(is_retry=True)).status == 500
     assert workers.requests[0].is_retry
-    assert (workers.budget.earned, workers.budget.charged, workers.budget.taken) == (0, 1, 0)
+    assert (workers.budget.earn_count, workers.budget.charge_count, workers.budget.take_count) == (
+        0,
+        1,
+        0,
+    )
 
 
-def test_a_crash_under_a_request_makes_its_retry_a_suspect():
-    workers = Workers(unknown(Reason.WORKER_ENDED), answer(200))
+def test_the_retry_after_a_worker_crash_is_marked_as_suspected():
+    workers = ScriptedWorkers(unknown(Reason.WORKER_ENDED), answer(200))
     workers.result()
     assert [request.suspected for request in workers.requests] == [False, True]
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Which replies speak against a destination, and for how long it is ejected."""
+"""Which replies count as failures of a destination, and how long it is ejected for."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     failure_of,
 )
 
-OWN_RULES = {
+FAILURE_BY_REASON = {
     Reason.PEER_UNREACHABLE: Failure.SIDECAR_UNREACHABLE,
     Reason.PEER_LOST: Failure.SIDECAR_UNREACHABLE,
     Reason.WORKER_UNREACHABLE: Failure.WORKER_UNREACHABLE,
@@ -25,18 +25,18 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.NOT_RUN, Outcome.UNKNOWN])
-@pytest.mark.parametrize("reason", sorted(OWN_RULES))
-def test_reasons_that_say_what_is_wrong_with_the_destination(outcome, reason):
-    assert failure_of(outcome, reason) is OWN_RULES[reason]
+@pytest.mark.parametrize("reason", sorted(FAILURE_BY_REASON))
+def test_reasons_that_indicate_a_destination_failure(outcome, reason):
+    assert failure_of(outcome, reason) is FAILURE_BY_REASON[reason]
 
 
-@pytest.mark.parametrize("reason", sorted(set(Reason) - set(OWN_RULES)))
-def test_other_refusals_say_nothing_of_the_destination(reason):
+@pytest.mark.parametrize("reason", sorted(set(Reason) - set(FAILURE_BY_REASON)))
+def test_other_refusals_are_no_destination_failure(reason):
     assert failure_of(Outcome.NOT_RUN, reason) is Failure.NONE
 
 
-@pytest.mark.parametrize("reason", sorted(set(Reason) - set(OWN_RULES)))
-def test_a_lost_outcome_counts_unless_the_caller_ended_it(reason):
+@pytest.mark.parametrize("reason", sorted(set(Reason) - set(FAILURE_BY_REASON)))
+def test_an_unknown_outcome_counts_unless_caused_by_the_caller(reason):
     of_caller = reason in (Reason.CANCELLED, Reason.DEADLINE_PASSED)
     expected = Failure.NONE if of_caller else Failure.COUNTED
     assert failure_of(Outcome.UNKNOWN, reason) is expected
@@ -49,7 +49,7 @@
     assert ejection_seconds(failure, 100) == MAX_EJECTION_SECONDS
 
 
-def test_other_failures_eject_after_some_in_a_row():
+def test_counted_failures_eject_from_the_limit_on():
     assert ejection_seconds(Failure.COUNTED, CONSECUTIVE_FAILURES_BEFORE_EJECTION - 1) == 0.0
     assert (
         ejection_seconds(Failure.COUNTED, CONSECUTIVE_FAILURES_BEFORE_EJECTION)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""The bound on repeats holds over the whole fleet, whatever becomes of it."""
+"""The fleet-wide bound on retries holds under load changes, failures and restarts."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from cranklane.sidecar.routing.retry_budget import FleetSize, RetryBound, RetryBudget
 
 BOUND = RetryBound(ratio=0.2, slack=213.0, window=10.0)
-STEP = 0.5
-STEPS_IN_WINDOW = int(BOUND.window / STEP)
-STEPS_OF_FEW_MEMBERS = 4
+STEP_SECONDS = 0.5
+STEPS_IN_WINDOW = int(BOUND.window / STEP_SECONDS)
+STEPS_WITHOUT_MEMBERS = 4
 SERVICE = "service"
 
 
@@ -28,20 +28,21 @@
 
 @dataclass(frozen=True)
 class Phase:
-    """Some seconds of a fleet's life.
+    """Load and faults of a fleet for a number of steps.
 
-    requests: a second, over the fleet; few: whether they come through three sidecars
-    only; failing: part of the requests that would be repeated; restart: whether all
-    sidecars start anew before it, and know next to nobody for two seconds; known: part
-    of the fleet that a sidecar knows of then.
+    :ivar requests: per second, over the fleet.
+    :ivar few_sidecars: whether all requests come through three sidecars.
+    :ivar failing_fraction: fraction of the requests that need a retry.
+    :ivar restart: whether all sidecars restart, and briefly know no others.
+    :ivar known_fraction: fraction of the fleet that each sidecar knows.
     """
 
     steps: int
     requests: float
-    few: bool
-    failing: float
+    few_sidecars: bool
+    failing_fraction: float
     restart: bool
-    known: float
+    known_fraction: float
 
 
 PHASES = st.lists(
@@ -49,10 +50,10 @@
         Phase,
         steps=st.sampled_from([5, 20, 45]),
         requests=st.sampled_from([0.0, 20.0, 300.0]),
-        few=st.booleans(),
-        failing=st.sampled_from([0.0, 0.3, 1.0]),
+        few_sidecars=st.booleans(),
+        failing_fraction=st.sampled_from([0.0, 0.3, 1.0]),
         restart=st.booleans(),
-        known=st.sampled_from([0.5, 1.0]),
+        known_fraction=st.sampled_from([0.5, 1.0]),
     ),
     min_size=2,
     max_size=5,
@@ -65,54 +66,54 @@
         self.random = Random(seed)
         self.size = size
         self.requests = []
-        self.repeats = []
+        self.retries = []
         self.start()
 
     def start(self):
-        self.known = 0.0
+        self.known_fraction = 0.0
         self.grown_at = self.clock.now
         self.budgets = [
             RetryBudget(BOUND, self.clock, self.random, self.count) for _ in range(self.size)
         ]
 
     def count(self):
-        return FleetSize(max(1, round(self.known * self.size)), self.grown_at)
+        return FleetSize(max(1, round(self.known_fraction * self.size)), self.grown_at)
 
-    def knows(self, part):
-        if part > self.known:
+    def set_known_fraction(self, fraction):
+        if fraction > self.known_fraction:
             self.grown_at = self.clock.now
-        self.known = part
+        self.known_fraction = fraction
 
-    def play(self, phase):
+    def run(self, phase):
         if phase.restart:
             self.start()
-        budgets = self.budgets[:3] if phase.few else self.budgets
+        budgets = self.budgets[:3] if phase.few_sidecars else self.budgets
         for step in range(phase.steps):
-            forgetful = phase.restart and step < STEPS_OF_FEW_MEMBERS
-            self.knows(0.0 if forgetful else phase.known)
-            self.clock.now += STEP
-            begun = round(phase.requests * STEP)
-            taken = 0
-            for _ in range(begun):
+            just_restarted = phase.restart and step < STEPS_WITHOUT_MEMBERS
+            self.set_known_fraction(0.0 if just_restarted else phase.known_fraction)
+            self.clock.now += STEP_SECONDS
+            started = round(phase.requests * STEP_SECONDS)
+            retried = 0
+            for _ in range(started):
                 budget = self.random.choice(budgets)
                 budget.earn(SERVICE)
-                if self.random.random() < phase.failing:
-                    taken += budget.take(SERVICE)
-            self.requests.append(begun)
-            self.repeats.append(taken)
+                if self.random.random() < phase.failing_fraction:
+                    retried += budget.take(SERVICE)
+            self.requests.append(started)
+            self.retries.append(retried)
 
     def excess(self):
-        """Return by how much the worst window is over the bound; below zero: it held."""
+        """Return the retries above the bound in the worst window; negative if below it."""
         window, half = STEPS_IN_WINDOW, STEPS_IN_WINDOW // 2
         worst = -BOUND.slack
-        for end in range(1, len(self.repeats) + 1):
+        for end in range(1, len(self.retries) + 1):
             begin = max(0, end - window)
             counted = [
                 sum(self.requests[max(0, begin - back) : max(0, end - back)])
                 for back in (0, half, window)
             ]
             allowed = BOUND.ratio * max(counted) + BOUND.slack
-            worst = max(worst, sum(self.repeats[begin:end]) - allowed)
+            worst = max(worst, sum(self.retries[begin:end]) - allowed)
         return worst
 
 
@@ -121,42 +122,42 @@
 def test_the_bound_holds_in_every_window_over_the_whole_fleet(size, phases, seed):
     fleet = Fleet(size, seed)
     for phase in phases:
-        fleet.play(phase)
+        fleet.run(phase)
     assert fleet.excess() <= 0
 
 
 def all_fail_at_once(fleet):
-    fleet.play(Phase(60, 20.0, False, 0.0, False, 1.0))
-    fleet.play(Phase(20, 300.0, False, 1.0, False, 1.0))
-    return sum(fleet.repeats)
+    fleet.run(Phase(60, 20.0, False, 0.0, False, 1.0))
+    fleet.run(Phase(20, 300.0, False, 1.0, False, 1.0))
+    return sum(fleet.retries)
 
 
 @pytest.mark.parametrize("size", [17, 195, 1200])
-def test_a_sudden_fault_may_use_a_good_part_of_the_bound_at_any_size(size):
+def test_a_sudden_fault_may_use_a_large_part_of_the_bound_at_any_size(size):
     used = all_fail_at_once(Fleet(size, 1))
     assert used > 0.35 * BOUND.ratio * 3000
 
 
-def test_what_comes_through_a_few_sidecars_may_be_repeated_there():
+def test_requests_through_few_sidecars_may_be_retried_there():
     fleet = Fleet(195, 1)
-    fleet.play(Phase(40, 300.0, True, 1.0, False, 1.0))
-    assert sum(fleet.repeats) > 0.35 * BOUND.ratio * sum(fleet.requests)
+    fleet.run(Phase(40, 300.0, True, 1.0, False, 1.0))
+    assert sum(fleet.retries) > 0.35 * BOUND.ratio * sum(fleet.requests)
 
 
-def test_a_fleet_that_was_restarted_does_not_begin_with_the_slack_of_each():
+def test_a_restarted_fleet_does_not_start_with_a_slack_share_per_sidecar():
     fleet = Fleet(195, 1)
-    fleet.play(Phase(10, 300.0, False, 1.0, True, 1.0))
-    assert sum(fleet.repeats) <= BOUND.ratio * sum(fleet.requests)
+    fleet.run(Phase(10, 300.0, False, 1.0, True, 1.0))
+    assert sum(fleet.retries) <= BOUND.ratio * sum(fleet.requests)
 
 
 def test_tokens_of_a_quiet_hour_are_not_spent_at_once():
     fleet = Fleet(17, 1)
-    fleet.play(Phase(120, 300.0, False, 0.0, False, 1.0))
-    fleet.play(Phase(20, 300.0, False, 1.0, False, 1.0))
+    fleet.run(Phase(120, 300.0, False, 0.0, False, 1.0))
+    fleet.run(Phase(20, 300.0, False, 1.0, False, 1.0))
     assert fleet.excess() <= 0
 
 
-def test_calls_of_repeated_runs_are_paid_for_by_later_requests():
+def test_calls_of_retried_runs_are_repaid_by_later_requests():
     bound = RetryBound(ratio=0.2, slack=0.0, window=10.0)
     budget = RetryBudget(bound, Clock(), Random(1), lambda: FleetSize(1, 0.0))
     clock = budget._clock
@@ -164,7 +165,7 @@
         budget.earn(SERVICE)
     for _ in range(3):
         budget.charge(SERVICE)
-    # Fewer than two tokens were earned, so that more than one is owed, also seconds later.
+    # Under two tokens were earned and three charged: over one is owed, and does not expire.
     for _ in range(3):
         clock.now += 1.0
         budget.earn(SERVICE)
@@ -174,18 +175,18 @@
     assert budget.take(SERVICE)
 
 
-@pytest.mark.parametrize("failing", [0.05, 0.1])
-def test_a_lasting_share_of_failures_within_the_bound_is_repeated(failing):
+@pytest.mark.parametrize("failing_fraction", [0.05, 0.1])
+def test_a_sustained_failure_fraction_within_the_bound_is_retried(failing_fraction):
     fleet = Fleet(17, 1)
-    fleet.play(Phase(10, 300.0, False, 0.0, False, 1.0))
-    fleet.play(Phase(60, 300.0, False, failing, False, 1.0))
-    failures = failing * 300.0 * 60 * STEP
-    assert sum(fleet.repeats) > 0.9 * failures
+    fleet.run(Phase(10, 300.0, False, 0.0, False, 1.0))
+    fleet.run(Phase(60, 300.0, False, failing_fraction, False, 1.0))
+    failures = failing_fraction * 300.0 * 60 * STEP_SECONDS
+    assert sum(fleet.retries) > 0.9 * failures
     assert fleet.excess() <= 0
 
 
 class FixedReserve(RetryBudget):
-    """What sidecars did before: a reserve of two each, whatever the size of the fleet."""
+    """A reserve of two retries per sidecar, independent of the fleet size."""
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
@@ -203,6 +204,6 @@
 def test_a_fixed_reserve_breaks_the_bound(monkeypatch):
     monkeypatch.setattr("test_retry_budget.RetryBudget", FixedReserve)
     fleet = Fleet(195, 1)
-    fleet.play(Phase(60, 20.0, False, 0.0, False, 1.0))
-    fleet.play(Phase(40, 60.0, False, 1.0, False, 1.0))
+    fleet.run(Phase(60, 20.0, False, 0.0, False, 1.0))
+    fleet.run(Phase(40, 60.0, False, 1.0, False, 1.0))
     assert fleet.excess() > 0
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Of a large service each sidecar turns to the same few workers first."""
+"""Subsets of large services: even coverage, stability, and widening under load or faults."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Caller:
-    """What a sidecar knows of the members, and how it chooses among them."""
+    """The destinations and worker selection of one sidecar."""
 
     def __init__(self, number, members, clock=lambda: 50.0):
         name, zone = f"caller-{number}", ZONES[number % len(ZONES)]
@@ -56,81 +56,81 @@
         return self.choice.choose("s", set(), 0)
 
 
-def everyone():
+def all_members():
     return [member(number) for number in range(WORKERS)]
 
 
 def coverage(callers):
-    return Counter(item.node for one in callers for item in one.subset())
+    return Counter(worker.node for caller in callers for worker in caller.subset())
 
 
-def test_together_the_subsets_cover_all_workers_evenly():
-    counts = coverage([Caller(number, everyone()) for number in range(CALLERS)])
+def test_the_subsets_of_all_callers_cover_all_workers_evenly():
+    counts = coverage([Caller(number, all_members()) for number in range(CALLERS)])
     mean = sum(counts.values()) / WORKERS
     assert len(counts) == WORKERS
     assert max(counts.values()) <= 1.5 * mean
 
 
 def test_coverage_stays_even_while_workers_come_and_go():
-    callers = [Caller(number, everyone()) for number in range(CALLERS)]
+    callers = [Caller(number, all_members()) for number in range(CALLERS)]
     changes = [member(number, 2, MemberState.GONE) for number in range(0, 40)]
     changes += [member(number) for number in range(WORKERS, WORKERS + 40)]
-    for one in callers:
-        one.apply(MemberDelta(False, changes))
+    for caller in callers:
+        caller.apply(MemberDelta(False, changes))
     counts = coverage(callers)
     assert len(counts) == WORKERS
     assert max(counts.values()) <= 1.5 * sum(counts.values()) / WORKERS
 
 
-def test_half_of_a_subset_is_of_the_own_zone_and_it_stays_the_same():
-    one = Caller(3, everyone())
-    subset = one.subset()
+def test_half_of_a_subset_is_in_the_local_zone_and_updates_keep_it():
+    caller = Caller(3, all_members())
+    subset = caller.subset()
     assert len(subset) == SUBSET_SIZE
-    assert sum(item.zone == ZONES[3] for item in subset) == SUBSET_LOCAL_ZONE_SIZE
-    one.apply(MemberDelta(False, [member(number, 2) for number in range(WORKERS)]))
-    assert one.subset() == subset
+    assert sum(worker.zone == ZONES[3] for worker in subset) == SUBSET_LOCAL_ZONE_SIZE
+    caller.apply(MemberDelta(False, [member(number, 2) for number in range(WORKERS)]))
+    assert caller.subset() == subset
 
 
-def choices(one, count):
-    return Counter(one.choose().node for _ in range(count))
+def choices(caller, count):
+    return Counter(caller.choose().node for _ in range(count))
 
 
 def test_a_caller_with_little_to_do_meets_few_workers():
-    assert len(choices(Caller(1, everyone()), 400)) <= SUBSET_SIZE
+    assert len(choices(Caller(1, all_members()), 400)) <= SUBSET_SIZE
 
 
-def loaded(one, now, running):
-    for item in one.subset():
-        item.update_load(now, Load(running, 0, SLOTS))
+def loaded(caller, now, running):
+    for worker in caller.subset():
+        worker.update_load(now, Load(running, 0, SLOTS))
 
 
-@pytest.mark.parametrize("trouble", ["loaded", "ejected", "sick", "full", "draining"])
-def test_a_subset_in_trouble_is_widened(trouble):
+@pytest.mark.parametrize("problem", ["loaded", "ejected", "sick", "full", "draining"])
+def test_a_subset_in_trouble_is_widened(problem):
     now = 50.0
-    one = Caller(1, everyone(), lambda: now)
-    for item in one.subset():
-        if trouble == "loaded":
-            item.update_load(now, Load(SLOTS - 1, 0, SLOTS))
-        elif trouble == "ejected":
-            item.ejected_until = now + 9.0
-        elif trouble == "sick":
+    caller = Caller(1, all_members(), lambda: now)
+    for worker in caller.subset():
+        if problem == "loaded":
+            worker.update_load(now, Load(SLOTS - 1, 0, SLOTS))
+        elif problem == "ejected":
+            worker.ejected_until = now + 9.0
+        elif problem == "sick":
             for _ in range(20):
-                item.slowness.sample(now, 9.0)
-        elif trouble == "full":
-            item.record_capacity_refusal(now, 0)
+                worker.slowness.sample(now, 9.0)
+        elif problem == "full":
+            worker.record_capacity_refusal(now, 0)
         else:
-            item.state = MemberState.DRAINING
-    subset = {item.node for item in one.subset()}
-    assert all(node not in subset for node in choices(one, 60))
+            worker.state = MemberState.DRAINING
+    subset = {worker.node for worker in caller.subset()}
+    assert all(node not in subset for node in choices(caller, 60))
 
 
 def test_a_new_worker_gets_requests_from_several_callers_at_once():
-    callers = [Caller(number, everyone()) for number in range(CALLERS)]
+    callers = [Caller(number, all_members()) for number in range(CALLERS)]
     busy = Load(2, 0, SLOTS)
-    asked = 0
-    for one in callers:
-        for item in one.destinations.members("s"):
-            item.update_load(50.0, busy)
-        one.apply(MemberDelta(False, [member(WORKERS)]))
-        asked += one.choose().node == f"worker-{WORKERS}"
-    assert asked >= 10
+    requests_to_new_worker = 0
+    for caller in callers:
+        for worker in caller.destinations.members("s"):
+            worker.update_load(50.0, busy)
+        caller.apply(MemberDelta(False, [member(WORKERS)]))
+        requests_to_new_worker += caller.choose().node == f"worker-{WORKERS}"
+    assert requests_to_new_worker >= 10
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -1,4 +1,4 @@
-"""Which worker gets a request, rule by rule, among few workers."""
+"""Each rule of worker selection, with a service small enough to be compared as a whole."""
 
 from __future__ import annotations
 
@@ -37,8 +37,8 @@
         return self.now
 
 
-class Known:
-    """A sidecar of zone z that knows three idle workers of its zone."""
+class LocalSidecar:
+    """A sidecar in zone z with three idle workers in the same zone."""
 
     def __init__(self):
         self.clock = Clock()
@@ -47,12 +47,12 @@
         self.choice = WorkerChoice(self.destinations, self.clock, Random(1), "own", "z")
 
     def __getitem__(self, node):
-        return next(item for item in self.destinations.members("s") if item.node == node)
+        return next(worker for worker in self.destinations.members("s") if worker.node == node)
 
-    def chosen(self, tried=(), priority=0):
-        """Return all nodes that are chosen for requests that come one by one."""
-        chosen = (self.choice.choose("s", set(tried), priority) for _ in range(30))
-        return {item.node for item in chosen if item is not None}
+    def chosen_nodes(self, tried=(), priority=0):
+        """Return the nodes chosen over 30 independent selections."""
+        chosen_nodes = (self.choice.choose("s", set(tried), priority) for _ in range(30))
+        return {worker.node for worker in chosen_nodes if worker is not None}
 
 
 def member(node):
@@ -69,107 +69,111 @@
     )
 
 
-def test_equals_are_chosen_at_random():
-    assert Known().chosen() == set(NODES)
+def test_workers_of_equal_cost_are_chosen_at_random():
+    assert LocalSidecar().chosen_nodes() == set(NODES)
 
 
-def test_a_tried_worker_is_left_out():
-    assert Known().chosen(tried=("a",)) == {"b", "c"}
-    assert Known().chosen(tried=NODES) == set()
+def test_a_tried_worker_is_excluded():
+    assert LocalSidecar().chosen_nodes(tried=("a",)) == {"b", "c"}
+    assert LocalSidecar().chosen_nodes(tried=NODES) == set()
 
 
 @pytest.mark.parametrize("state", [MemberState.DRAINING, MemberState.GONE])
 def test_only_live_workers_are_candidates(state):
-    known = Known()
-    known["a"].state = state
-    assert known.chosen() == {"b", "c"}
+    sidecar = LocalSidecar()
+    sidecar["a"].state = state
+    assert sidecar.chosen_nodes() == {"b", "c"}
 
 
-def test_a_saturated_worker_gets_nothing_as_important_or_less_for_a_moment():
-    known = Known()
+def test_a_saturated_worker_briefly_gets_no_requests_of_equal_or_lower_priority():
+    sidecar = LocalSidecar()
     for node in NODES:
-        known[node].record_capacity_refusal(known.clock.now, 1)
-    assert known.chosen(priority=0) == set(NODES)
-    assert known.chosen(priority=1) == set()
-    assert known.choice.all_saturated("s", 2)
-    assert not known.choice.all_saturated("s", 0)
-    known.clock.now += SATURATED_SECONDS + 0.001
-    assert known.chosen(priority=1) == set(NODES)
+        sidecar[node].record_capacity_refusal(sidecar.clock.now, 1)
+    assert sidecar.chosen_nodes(priority=0) == set(NODES)
+    assert sidecar.chosen_nodes(priority=1) == set()
+    assert sidecar.choice.all_saturated("s", 2)
+    assert not sidecar.choice.all_saturated("s", 0)
+    sidecar.clock.now += SATURATED_SECONDS + 0.001
+    assert sidecar.chosen_nodes(priority=1) == set(NODES)
 
 
-def test_the_most_important_refusal_counts_while_a_worker_is_saturated():
-    known = Known()
-    known["a"].record_capacity_refusal(known.clock.now, 1)
-    known["a"].record_capacity_refusal(known.clock.now, 3)
-    assert known["a"].is_saturated(known.clock.now, 1)
+def test_the_highest_refused_priority_counts_while_a_worker_is_saturated():
+    sidecar = LocalSidecar()
+    sidecar["a"].record_capacity_refusal(sidecar.clock.now, 1)
+    sidecar["a"].record_capacity_refusal(sidecar.clock.now, 3)
+    assert sidecar["a"].is_saturated(sidecar.clock.now, 1)
 
 
-def test_a_worker_that_nothing_confirms_any_more_is_no_candidate():
-    known = Known()
-    known["a"].mark_unconfirmed(known.clock.now)
-    known.clock.now += UNCONFIRMED_EXPIRY_SECONDS
-    assert known.chosen() == set(NODES)
-    known.clock.now += 0.001
-    assert known.chosen() == {"b", "c"}
+def test_an_unconfirmed_worker_is_no_candidate_after_its_expiry():
+    sidecar = LocalSidecar()
+    sidecar["a"].mark_unconfirmed(sidecar.clock.now)
+    sidecar.clock.now += UNCONFIRMED_EXPIRY_SECONDS
+    assert sidecar.chosen_nodes() == set(NODES)
+    sidecar.clock.now += 0.001
+    assert sidecar.chosen_nodes() == {"b", "c"}
 
 
 def test_an_ejected_worker_is_chosen_only_if_all_are_ejected():
-    known = Known()
-    known["a"].failed(known.clock.now, Failure.WORKER_UNREACHABLE)
-    known["b"].failed(known.clock.now, Failure.WORKER_UNREACHABLE)
-    assert known.chosen() == {"c"}
-    assert known.chosen(tried=("c",)) == {"a", "b"}
-    known.clock.now += EJECTION_SECONDS_PER_FAILURE
-    assert known.chosen() == set(NODES)
+    sidecar = LocalSidecar()
+    sidecar["a"].failed(sidecar.clock.now, Failure.WORKER_UNREACHABLE)
+    sidecar["b"].failed(sidecar.clock.now, Failure.WORKER_UNREACHABLE)
+    assert sidecar.chosen_nodes() == {"c"}
+    assert sidecar.chosen_nodes(tried=("c",)) == {"a", "b"}
+    sidecar.clock.now += EJECTION_SECONDS_PER_FAILURE
+    assert sidecar.chosen_nodes() == set(NODES)
 
 
-def test_an_answer_ends_a_row_of_failures():
-    known = Known()
+def test_an_answer_resets_the_consecutive_failures():
+    sidecar = LocalSidecar()
     for _ in range(3):
-        known["a"].failed(known.clock.now, Failure.COUNTED)
-        known["a"].answered(known.clock.now, Load())
-    assert known["a"].ejected_until == 0.0
+        sidecar["a"].failed(sidecar.clock.now, Failure.COUNTED)
+        sidecar["a"].answered(sidecar.clock.now, Load())
+    assert sidecar["a"].ejected_until == 0.0
 
 
-def test_an_isolated_run_goes_to_the_same_worker_from_everywhere():
+def test_all_sidecars_choose_the_same_worker_for_an_isolated_run():
     identities = [bytes([number]) * 16 for number in range(40)]
-    first, second = Known(), Known()
-    named = [first.choice.isolated_run_destination("s", item, set()).node for item in identities]
-    again = [second.choice.isolated_run_destination("s", item, set()).node for item in identities]
-    assert named == again
-    assert set(named) == set(NODES)
+    first, second = LocalSidecar(), LocalSidecar()
+    first_choices = [
+        first.choice.isolated_run_destination("s", identity, set()).node for identity in identities
+    ]
+    second_choices = [
+        second.choice.isolated_run_destination("s", identity, set()).node for identity in identities
+    ]
+    assert first_choices == second_choices
+    assert set(first_choices) == set(NODES)
 
 
 def test_an_isolated_run_goes_to_no_ejected_tried_or_draining_worker():
-    known = Known()
-    known["a"].failed(known.clock.now, Failure.WORKER_UNREACHABLE)
-    known["b"].state = MemberState.DRAINING
+    sidecar = LocalSidecar()
+    sidecar["a"].failed(sidecar.clock.now, Failure.WORKER_UNREACHABLE)
+    sidecar["b"].state = MemberState.DRAINING
     identities = [bytes([number]) * 16 for number in range(40)]
-    for item in identities:
-        assert known.choice.isolated_run_destination("s", item, set()).node == "c"
-        assert known.choice.isolated_run_destination("s", item, {"c"}) is None
+    for identity in identities:
+        assert sidecar.choice.isolated_run_destination("s", identity, set()).node == "c"
+        assert sidecar.choice.isolated_run_destination("s", identity, {"c"}) is None
 
 
-def test_an_idle_worker_of_the_own_zone_costs_one_run():
-    known = Known()
-    assert cost(known["a"], "z", known.clock.now) == 1.0
-    assert cost(known["a"], "y", known.clock.now) == CROSS_ZONE_FACTOR
+def test_an_idle_worker_of_the_local_zone_costs_one_run():
+    sidecar = LocalSidecar()
+    assert cost(sidecar["a"], "z", sidecar.clock.now) == 1.0
+    assert cost(sidecar["a"], "y", sidecar.clock.now) == CROSS_ZONE_FACTOR
 
 
-def test_load_costs_the_expected_wait_and_a_run_for_all_slots():
-    known = Known()
-    known["a"].update_load(known.clock.now, Load(5, 0, SLOTS))
+def test_load_adds_the_expected_wait_and_the_full_load_cost():
+    sidecar = LocalSidecar()
+    sidecar["a"].update_load(sidecar.clock.now, Load(5, 0, SLOTS))
     expected = 1.0 + expected_wait(0.5, SLOTS) + FULL_LOAD_COST * 0.5
-    assert cost(known["a"], "z", known.clock.now) == pytest.approx(expected)
+    assert cost(sidecar["a"], "z", sidecar.clock.now) == pytest.approx(expected)
 
 
 def test_requests_sent_since_the_last_report_count_as_load():
-    known = Known()
-    known["a"].update_load(known.clock.now, Load(2, 1, SLOTS))
-    known["a"].opened()
-    assert known["a"].load() == pytest.approx(0.4)
-    known["a"].closed()
-    assert known["a"].load() == pytest.approx(0.3)
+    sidecar = LocalSidecar()
+    sidecar["a"].update_load(sidecar.clock.now, Load(2, 1, SLOTS))
+    sidecar["a"].opened()
+    assert sidecar["a"].load() == pytest.approx(0.4)
+    sidecar["a"].closed()
+    assert sidecar["a"].load() == pytest.approx(0.3)
 
 
 @pytest.mark.parametrize(
@@ -181,25 +185,25 @@
         (Condition(0.5, 3 * TOLERATED), 3.0 + ALL_FAULTS_COST / 2),
     ],
 )
-def test_a_run_at_a_worker_in_bad_condition_costs_more(reported_requests, factor):
-    known = Known()
-    known["a"].take_condition(known.clock.now, reported_requests)
-    assert condition_factor(known["a"], known.clock.now) == pytest.approx(factor)
+def test_a_worker_in_bad_condition_has_a_higher_cost(reported_requests, factor):
+    sidecar = LocalSidecar()
+    sidecar["a"].take_condition(sidecar.clock.now, reported_requests)
+    assert condition_factor(sidecar["a"], sidecar.clock.now) == pytest.approx(factor)
 
 
-def test_the_larger_of_the_reported_and_the_measured_slowness_counts():
-    known = Known()
+def test_the_larger_of_reported_and_observed_slowness_counts():
+    sidecar = LocalSidecar()
     for _ in range(60):
-        known["a"].slowness.sample(known.clock.now, 4 * TOLERATED)
-    known["a"].take_condition(known.clock.now, Condition(0.0, 2 * TOLERATED))
-    assert condition_factor(known["a"], known.clock.now) == pytest.approx(4.0, rel=0.01)
+        sidecar["a"].slowness.sample(sidecar.clock.now, 4 * TOLERATED)
+    sidecar["a"].take_condition(sidecar.clock.now, Condition(0.0, 2 * TOLERATED))
+    assert condition_factor(sidecar["a"], sidecar.clock.now) == pytest.approx(4.0, rel=0.01)
 
 
-def test_a_condition_that_control_repeats_is_not_taken_as_new():
-    known = Known()
+def test_a_condition_repeated_by_control_does_not_reset_its_age():
+    sidecar = LocalSidecar()
     sick = Condition(0.5, 1.0)
-    known["a"].update_control_condition(50.0, sick)
-    known["a"].update_control_condition(60.0, replace(sick))
-    assert known["a"].condition_at == 50.0
-    known["a"].update_control_condition(70.0, WELL)
-    assert known["a"].condition_at == 70.0
+    sidecar["a"].update_control_condition(50.0, sick)
+    sidecar["a"].update_control_condition(60.0, replace(sick))
+    assert sidecar["a"].condition_at == 50.0
+    sidecar["a"].update_control_condition(70.0, WELL)
+    assert sidecar["a"].condition_at == 70.0
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""A request leaves its zone only for what it gains in time."""
+"""Requests go to another zone only if that shortens the expected wait enough."""
 
 from __future__ import annotations
 
@@ -13,8 +13,11 @@
 SLOTS = 20
 
 
-def known(loads):
-    """Return the choice of a sidecar of zone a that knows workers by zone and load."""
+def choice_among(loads):
+    """Return the WorkerChoice of a sidecar in zone a.
+
+    :param loads: zone and running requests of each worker.
+    """
     destinations = Destinations(lambda: 1.0, "own")
     for number, (zone, running) in enumerate(loads):
         name = f"{zone}-{number}"
@@ -30,38 +33,38 @@
                 slots=SLOTS,
             )
         )
-        chosen = next(item for item in destinations.members("s") if item.node == name)
-        chosen.update_load(1.0, Load(running, 0, SLOTS))
+        worker = next(worker for worker in destinations.members("s") if worker.node == name)
+        worker.update_load(1.0, Load(running, 0, SLOTS))
     return WorkerChoice(destinations, lambda: 1.0, Random(1), "own", "a")
 
 
-def chosen_zone(own_running, other_running):
-    choice = known([("a", own_running), ("b", other_running)])
+def chosen_zone(local_running, remote_running):
+    choice = choice_among([("a", local_running), ("b", remote_running)])
     return choice.choose("s", set(), 0).zone
 
 
-def test_a_little_more_load_is_no_reason_to_leave_the_zone():
+def test_a_small_load_difference_keeps_requests_in_the_zone():
     assert chosen_zone(8, 6) == "a"
     assert chosen_zone(4, 2) == "a"
 
 
-def test_a_nearly_full_zone_is_left_while_another_has_room():
+def test_a_nearly_full_zone_sends_requests_to_a_zone_with_capacity():
     assert chosen_zone(18, 10) == "b"
 
 
-def test_a_zone_whose_worker_is_much_more_loaded_is_left():
+def test_a_large_load_difference_sends_requests_to_another_zone():
     assert chosen_zone(12, 2) == "b"
 
 
-def test_where_all_are_full_the_own_zone_is_as_good():
+def test_the_local_zone_is_preferred_when_all_zones_are_full():
     assert chosen_zone(20, 20) == "a"
 
 
-def test_equals_of_the_own_zone_share_the_load():
-    choice = known([("a", 5), ("a", 4), ("b", 0)])
+def test_workers_of_the_local_zone_share_the_load():
+    choice = choice_among([("a", 5), ("a", 4), ("b", 0)])
     counts = {"a-0": 0, "a-1": 0, "b-2": 0}
     for _ in range(6):
-        item = choice.choose("s", set(), 0)
-        item.opened()
-        counts[item.node] += 1
+        worker = choice.choose("s", set(), 0)
+        worker.opened()
+        counts[worker.node] += 1
     assert counts["a-1"] > counts["a-0"] > 0
