--- a/src/cranklane/sidecar/request/__init__.py
+++ b/src/cranklane/sidecar/request/__init__.py
@@ -1,1 +1,1 @@
-"""What a request is on its way through a sidecar, and what became of it."""
+"""Data types for requests, their attempts and call trees, and their outcomes."""
--- a/src/cranklane/sidecar/request/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a worker run a request, and its outcome."""
+"""Attempts to run a request at a worker, and the replies to them."""
 
 from __future__ import annotations
 
@@ -13,21 +13,20 @@
 from cranklane.sidecar.worker.condition import WELL, Condition
 
 BodyReader = Callable[[], bytes]
-"""Returns the next piece of a request's body, nothing at its end."""
+"""Returns the next chunk of a request body; empty at its end."""
 
 SMALL_BODY_BYTES = 64 * 1024
-"""Bytes up to which a body is kept whole, so that it can be sent again. A choice: it bounds the
-memory of a request under way."""
+"""Maximum size of a body that is buffered for retries; limits the memory per request."""
 
 AT_CAPACITY = (Reason.QUEUE_FULL, Reason.DEADLINE_TOO_NEAR)
-"""Why a sidecar refuses a request for lack of capacity at its worker."""
+"""Reasons of refusals for lack of capacity at the worker."""
 
 
 class Attempt:
-    """A request on its way to one worker.
+    """An attempt to run a request at one worker.
 
-    :ivar request: what is asked.
-    :ivar rest: reads what of the body has not been read yet; None when it is whole.
+    :ivar request: the request as sent to the worker's sidecar.
+    :ivar rest: reads the remaining chunks of the body; None if ``request`` has all of it.
     :ivar cancelled: whether the caller has disconnected.
     """
 
@@ -40,16 +39,16 @@
         self._on_cancel: Callable[[], None] | None = None
 
     def when_cancelled(self, action: Callable[[], None] | None) -> None:
-        """Set what cancels the present step; None when the step has ended.
+        """Set the action that cancels the current step, or None after the step.
 
-        The action is called at once when the attempt is cancelled already.
+        The action is called immediately if the attempt is already cancelled.
         """
         self._on_cancel = action
         if self.cancelled and action is not None:
             action()
 
     def cancel(self) -> None:
-        """End the attempt: its caller has disconnected."""
+        """Cancel the attempt after its caller has disconnected."""
         self.cancelled = True
         if self._on_cancel is not None:
             self._on_cancel()
@@ -57,7 +56,7 @@
 
 @dataclass(slots=True)
 class Load:
-    """Load and condition of a worker by its own sidecar's count."""
+    """Load and condition of a worker as reported by its sidecar; no slots if not reported."""
 
     running: int = 0
     queued: int = 0
@@ -67,20 +66,20 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What became of an attempt.
+    """Outcome of an attempt, with the worker's answer if there is one.
 
     :ivar arrived: whether the request reached a worker.
-    :ivar retry_after_ms: when a refused request may come again; for how long a request is
-        quarantined under which the worker crashed.
-    :ivar lines: the answer's headers as they go to the caller, without framing.
-    :ivar body: the body, or its first piece when ``rest`` is there.
-    :ivar waited_ms: time it waited for a slot of the worker.
-    :ivar run_time_ms: time until the worker had answered.
-    :ivar downstream_starved: whether the run failed because a call below it found no
-        capacity.
-    :ivar failure: the call that failed, where the run failed because of one.
-    :ivar downstream_cost: slot time of the run's calls; None: nothing is known.
-    :ivar rest: the further pieces; raises AnswerCutError when they end too early.
+    :ivar retry_after_ms: delay before a refused request may be retried, or the remaining
+        quarantine of a request during which the worker crashed.
+    :ivar lines: the answer's headers for the caller, without framing headers.
+    :ivar body: the body, or its first chunk if ``rest`` is set.
+    :ivar waited_ms: time in the queue for a slot.
+    :ivar run_time_ms: time from the start of the run to the worker's answer.
+    :ivar downstream_starved: whether the run failed because a downstream call was refused
+        for lack of capacity.
+    :ivar failure: the downstream call that made the run fail, if any.
+    :ivar downstream_cost: slot time used by the run's calls; None if unknown.
+    :ivar rest: the remaining chunks of the body; raises AnswerCutError if truncated.
     """
 
     outcome: Outcome
@@ -102,10 +101,10 @@
 
 
 def refusal(reason: Reason, arrived: bool = False, retry_after_ms: int = 0) -> Reply:
-    """Return the reply that says that the request has not run."""
+    """Return a reply with the outcome NOT_RUN."""
     return Reply(Outcome.NOT_RUN, reason, arrived, retry_after_ms=retry_after_ms)
 
 
 def unknown(reason: Reason) -> Reply:
-    """Return the reply that says that the request may have run."""
+    """Return a reply with the outcome UNKNOWN: the request may have run."""
     return Reply(Outcome.UNKNOWN, reason, arrived=True)
--- a/src/cranklane/sidecar/request/call.py
+++ b/src/cranklane/sidecar/request/call.py
@@ -1,7 +1,7 @@
-"""One request of a caller: what it asks for, and how far its attempts are.
+"""A caller's request and the progress of its attempts.
 
-``Call`` never changes after the ingress has made it. ``CallProgress`` is the only place that
-holds what its attempts have led to; the dispatcher and the caller's connection write to it.
+``Call`` is immutable. ``CallProgress`` holds all mutable state of a request and is written by
+the dispatcher and the caller's connection.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 
 
 class Call(NamedTuple):
-    """What a caller asks for. A named tuple, since creating a frozen dataclass takes longer.
-
-    :ivar request_id: id of the request, as the caller sent it.
-    :ivar service: whose workers may run it.
-    :ivar started_at: monotonic second at which its first byte was read.
-    :ivar deadline: monotonic second at which the caller gives up, by its own header or by
-        the route's timeout.
-    :ivar bodiless: whether its answer has no body, as for HEAD.
-    :ivar framing: how the body's end is found.
-    :ivar length: announced bytes of the body.
-    :ivar lines: request line and headers, without framing and what a gate sets.
-    :ivar body: what of the body has been read.
-    :ivar root: the root request of its call tree; itself for a client's request.
-    :ivar tenant: who owns it; empty where requests need no key.
-    :ivar of_client: whether a client made it, not a run of this machine's worker.
-    :ivar rest: reads the part of the body that is not in ``body``; such a request can be sent
+    """A caller's request. A named tuple, because creating a frozen dataclass is slower.
+
+    :ivar request_id: id sent by the caller.
+    :ivar service: service whose workers may run the request.
+    :ivar started_at: monotonic time in seconds at which its first byte was read.
+    :ivar deadline: monotonic time in seconds at which the caller gives up, from the caller's
+        header or the route's timeout.
+    :ivar bodiless: whether the answer has no body, as for HEAD.
+    :ivar framing: how the end of the request body is determined.
+    :ivar length: declared size of the body in bytes.
+    :ivar lines: request line and headers, without framing headers and those set by the gate.
+    :ivar body: the bytes of the body read so far.
+    :ivar root: root request of the call tree; a client's request is its own root.
+    :ivar tenant: tenant that owns the request; empty if requests need no key.
+    :ivar of_client: True for a request of a client, False for a call of the local worker.
+    :ivar rest: reads the remainder of a body larger than the buffer; the body can then be sent
         to one worker only.
     """
 
@@ -54,22 +54,22 @@
     rest: BodyReader | None = None
 
     def identity(self) -> Identity:
-        """Return the digest by which the same request is recognised when it comes again."""
+        """Return the digest that identifies repetitions of the same request."""
         return identity_of(self.service, self.tenant, self.lines, self.body, self.length)
 
 
 @dataclass(slots=True)
 class CallProgress:
-    """How far the attempts of a call are.
+    """Mutable state of a call.
 
-    :ivar attempts: workers reached so far.
-    :ivar refusals: sidecars that refused it for lack of capacity.
-    :ivar tried: nodes that were asked, also those that did not reach a worker.
-    :ivar current: the newest attempt.
+    :ivar attempts: number of attempts that reached a worker.
+    :ivar refusals: number of refusals for lack of capacity.
+    :ivar tried: nodes excluded from further attempts.
+    :ivar current: the latest attempt.
     :ivar cancelled: whether the caller has disconnected.
-    :ivar suspected: whether a worker crashed while it ran there, so that it may be the cause.
-    :ivar isolated: whether it must go to the gate that runs this suspect in isolation.
-    :ivar work: slot time of its runs, and of the calls that they made.
+    :ivar suspected: whether a worker crashed while running the request, possibly because of it.
+    :ivar isolated: whether the request must run in isolation, at the node responsible for it.
+    :ivar work: slot time used by its runs and their downstream calls.
     """
 
     call: Call
@@ -83,19 +83,19 @@
     work: SlotWork = field(default_factory=SlotWork)
 
     def note_suspicion(self, node: str, reason: Reason) -> None:
-        """Note what a reply without an answer says of the request as the cause of crashes.
+        """Update ``suspected`` and ``isolated`` from the reason of a reply without an answer.
 
-        :param node: that gave the reply.
+        :param node: node that replied.
         """
         if reason is Reason.WORKER_ENDED:
             self.suspected = True
         elif reason is Reason.SUSPECTED:
             self.isolated = True
-            # It may be the very node that is to run it in isolation.
+            # This node may itself be the one responsible for the isolated run.
             self.tried.discard(node)
 
     def cancel(self) -> None:
-        """End the call: its caller has disconnected."""
+        """Cancel the call and its current attempt after the caller has disconnected."""
         self.cancelled = True
         if self.current is not None:
             self.current.cancel()
--- a/src/cranklane/sidecar/request/call_tree.py
+++ b/src/cranklane/sidecar/request/call_tree.py
@@ -1,11 +1,9 @@
-"""Correlates the calls that a worker makes with the run that makes them.
+"""Correlation of the local worker's calls with the runs that make them.
 
-A call deep in a tree matters as much as its root request: refusing it wastes all that was done
-for that. The link is the request id: a worker that builds the ids of its calls from the id of
-the run that makes them (``run.call``) has them correlated by its own sidecar, through which
-both pass. A call whose id names no run under way there is taken for a root request.
-
-Owns the runs under way at this machine's worker.
+A call gets the priority and deadline of its root request, as refusing it would waste all work
+already done for the root. Calls are correlated by request id: a worker appends
+``ID_SEPARATOR`` and a suffix to the id of the run. A call whose id names no active run is
+treated as a root request.
 """
 
 from __future__ import annotations
@@ -17,19 +15,19 @@
 from cranklane.sidecar.request.slot_work import SlotWork
 
 ID_SEPARATOR = "."
-"""Between the id of a run and what its worker adds for a call."""
+"""Separates the id of a run from the suffix that the worker adds for a call."""
 
 
 @dataclass(frozen=True, slots=True)
 class Root:
     """The root request of a call tree. Times are monotonic seconds of this process.
 
-    :ivar priority: of its route, or of its tenant; 0 is the most important.
-    :ivar began_at: when it was taken.
-    :ivar objective_at: until when its answer is in time.
-    :ivar deadline: when its caller gives up.
-    :ivar is_retry: whether a run on the way from it to here is a retry: what such a run calls
-        is a retry at the services called.
+    :ivar priority: priority of its route or tenant; 0 is the highest.
+    :ivar began_at: time at which it was received.
+    :ivar objective_at: latest time at which an answer meets the objective.
+    :ivar deadline: time at which its caller gives up.
+    :ivar is_retry: whether any run between the root and this request is a retry; calls made by
+        a retry count as retries at the called services.
     """
 
     priority: int
@@ -40,10 +38,10 @@
 
 
 class CallFailure(NamedTuple):
-    """A call that failed, as deep in the tree as it is known.
+    """The deepest known failed call of a call tree.
 
-    :ivar service: the service that was called.
-    :ivar reason: why it has no answer; NONE where the worker's own run failed.
+    :ivar service: the called service.
+    :ivar reason: reason for the missing answer; NONE if the worker answered with an error.
     """
 
     service: str
@@ -52,13 +50,13 @@
 
 @dataclass(slots=True)
 class Run:
-    """One run under way at the worker.
+    """An active run at the local worker.
 
-    :ivar downstream_starved: whether a call that it made found no capacity, there or further down.
-    :ivar calls_under_way: calls that it made and that have not ended.
-    :ivar failure: the first call that it made and that failed.
-    :ivar tenant: whose request it is; empty where requests need no key.
-    :ivar downstream_cost: slot time of its calls, and of theirs.
+    :ivar downstream_starved: whether a direct or indirect call was refused for lack of capacity.
+    :ivar calls_under_way: number of its calls in progress.
+    :ivar failure: the first of its calls that failed.
+    :ivar tenant: tenant that owns the request; empty if requests need no key.
+    :ivar downstream_cost: slot time used by its direct and indirect calls.
     """
 
     root: Root
@@ -70,15 +68,15 @@
 
     @property
     def call_failed(self) -> bool:
-        """Whether a call that it made has failed."""
+        """Whether any call of the run has failed."""
         return self.failure is not None
 
     def call_ended(self, failure: CallFailure | None, starved: bool, work: SlotWork) -> None:
-        """Take how a call that it made ended.
+        """Record the end of a call of the run.
 
-        :param failure: what failed, None after an answer.
-        :param starved: whether it failed for lack of capacity, there or further down.
-        :param work: slot time of the call and of the calls below it.
+        :param failure: the failed call; None after an answer.
+        :param starved: whether it failed for lack of capacity at any depth.
+        :param work: slot time used by the call and its own calls.
         """
         self.calls_under_way -= 1
         self.failure = self.failure or failure
@@ -87,33 +85,34 @@
 
 
 class CallTree:
-    """The runs under way at one worker, by request id.
+    """Active runs of the local worker, by request id.
 
-    :ivar correlates: whether a call was ever correlated: whether the worker's ids allow it.
+    :ivar correlates: whether any call has been correlated, so that the worker is known to
+        derive the ids of its calls from those of its runs.
     """
 
     def __init__(self) -> None:
         self._runs: dict[str, Run] = {}
         self.correlates = False
 
-    def begin(self, request: str, root: Root, tenant: str = "") -> Run:
-        """Take that the worker runs a request of a tenant."""
-        run = self._runs[request] = Run(root, tenant=tenant)
+    def begin(self, request_id: str, root: Root, tenant: str = "") -> Run:
+        """Register the run of a request and return it."""
+        run = self._runs[request_id] = Run(root, tenant=tenant)
         return run
 
-    def end(self, request: str) -> None:
-        """Take that a run has ended."""
-        self._runs.pop(request, None)
+    def end(self, request_id: str) -> None:
+        """Remove a finished run."""
+        self._runs.pop(request_id, None)
 
-    def run_of(self, request: str) -> Run | None:
-        """Return the run under way that makes a call, or None.
+    def run_of(self, request_id: str) -> Run | None:
+        """Return the active run that makes a call, or None.
 
         >>> tree = CallTree()
         >>> run = tree.begin("7f", Root(0, 1.5, 2.5, 6.5))
         >>> tree.run_of("7f.1") is run, tree.run_of("8a.1"), tree.run_of("7f")
         (True, None, None)
         """
-        name, separator, _ = request.rpartition(ID_SEPARATOR)
-        run = self._runs.get(name) if separator else None
+        run_id, separator, _ = request_id.rpartition(ID_SEPARATOR)
+        run = self._runs.get(run_id) if separator else None
         self.correlates |= run is not None
         return run
--- a/src/cranklane/sidecar/request/decision.py
+++ b/src/cranklane/sidecar/request/decision.py
@@ -1,4 +1,4 @@
-"""What became of one request, for logs and counters."""
+"""Outcome of a request, for logs and metrics."""
 
 from __future__ import annotations
 
@@ -11,21 +11,22 @@
 
 @dataclass(slots=True)
 class Decision:
-    """What became of one request, for logs and counters.
+    """Outcome of a request, for logs and metrics.
 
-    :ivar route: name of its route; empty if it was refused before one was found.
-    :ivar status: HTTP status that was sent; 0 if the caller had disconnected.
-    :ivar attempts: workers that it reached.
-    :ivar refusals: sidecars that refused it for lack of capacity.
-    :ivar seconds: from its head to the end of its answer.
-    :ivar allowed_seconds: time it had, by its caller's header or its route; 0 without a route.
-    :ivar objective_seconds: an answer within this time is in time; 0 without a route.
-    :ivar waited_ms: time it waited for a slot of the worker that answered last.
-    :ivar run_time_ms: time it was at that worker.
-    :ivar version: of the route table that it was served by.
-    :ivar of_client: whether a client made it, not a run of this machine's worker.
-    :ivar failure: the call that failed, where its run failed because of one.
-    :ivar work: slot time of its runs, and of the calls that they made.
+    :ivar route: name of the route; empty if the request was refused before routing.
+    :ivar status: HTTP status sent to the caller; 0 if the caller had disconnected.
+    :ivar attempts: number of attempts that reached a worker.
+    :ivar refusals: number of refusals for lack of capacity.
+    :ivar seconds: time from the request's head to the end of its answer.
+    :ivar allowed_seconds: time to the deadline set by the caller's header or the route; 0
+        without a route.
+    :ivar objective_seconds: the route's latency objective; 0 without a route.
+    :ivar waited_ms: time in the queue for a slot at the last worker that replied.
+    :ivar run_time_ms: run time at that worker.
+    :ivar version: version of the route table in use.
+    :ivar of_client: True for a request of a client, False for a call of the local worker.
+    :ivar failure: the downstream call that made the run fail, if any.
+    :ivar work: slot time used by its runs and their downstream calls.
     """
 
     request_id: str
--- a/src/cranklane/sidecar/request/identity.py
+++ b/src/cranklane/sidecar/request/identity.py
@@ -1,9 +1,8 @@
-"""Recognises the same request when it comes again, whoever sends it and under whichever id.
+"""Identity of a request: a digest that repetitions of the same request share.
 
-A request that comes again has another id, deadline and other headers; what it asks of a worker
-is given by its service, tenant, method, target, host and body. The caller's machine is no part
-of the identity: the same request may enter anywhere. The tenant is: no tenant can have a
-request quarantined that another one sends.
+It covers service, tenant, method, target, host and body, but neither the id, deadline and other
+headers nor the receiving sidecar, which differ between repetitions. The tenant is included so
+that no tenant can get another tenant's requests quarantined.
 """
 
 from __future__ import annotations
@@ -12,10 +11,10 @@
 from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
 
 IDENTITY_BYTES = 16
-"""Bytes of the digest that are kept: any two of 10 ** 9 requests collide with probability
-10 ** -21, and nobody can construct a collision with another's request."""
+"""Size of the truncated digest; resists accidental collisions and constructed ones with another
+tenant's request."""
 
-_HOST = b"\r\nhost:"
+_HOST_PREFIX = b"\r\nhost:"
 
 Identity = bytes
 
@@ -23,37 +22,36 @@
 def identity_of(service: str, tenant: str, lines: bytes, body: bytes, length: int) -> Identity:
     """Return the identity of a request.
 
-    :param lines: its request line and headers.
-    :param body: what of the body has been read. Of a large one the first 64 KiB count, and
-        the length that it was announced with.
-    :param length: announced bytes of the body.
+    :param lines: request line and headers.
+    :param body: the bytes of the body read so far, of which ``SMALL_BODY_BYTES`` are used.
+    :param length: declared size of the body in bytes; 0 for the size of ``body``.
 
     >>> lines = b"GET /a HTTP/1.1\\r\\nHost: h\\r\\nId: 1\\r\\n"
-    >>> again = b"GET /a HTTP/1.1\\r\\nId: 2\\r\\nhost:h\\r\\n"
-    >>> identity_of("s", "", lines, b"", 0) == identity_of("s", "", again, b"", 0)
+    >>> repetition = b"GET /a HTTP/1.1\\r\\nId: 2\\r\\nhost:h\\r\\n"
+    >>> identity_of("s", "", lines, b"", 0) == identity_of("s", "", repetition, b"", 0)
     True
     >>> identity_of("s", "t", lines, b"", 0) == identity_of("s", "u", lines, b"", 0)
     False
     """
-    parts = (
+    fields = (
         service.encode(),
         tenant.encode(),
         lines[: lines.index(b"\r\n")],
-        _host_in(lines),
+        _host_header(lines),
         b"%d" % (length or len(body)),
         body[:SMALL_BODY_BYTES],
     )
     digest = sha256()
-    for part in parts:
-        # With its length before it, no part can pass for the end of another.
-        digest.update(b"%d:" % len(part))
-        digest.update(part)
+    for field in fields:
+        # The length prefix keeps the boundaries between fields unambiguous.
+        digest.update(b"%d:" % len(field))
+        digest.update(field)
     return bytes(digest.digest()[:IDENTITY_BYTES])
 
 
-def _host_in(lines: bytes) -> bytes:
-    start = lines.lower().find(_HOST)
+def _host_header(lines: bytes) -> bytes:
+    start = lines.lower().find(_HOST_PREFIX)
     if start < 0:
         return b""
-    start += len(_HOST)
+    start += len(_HOST_PREFIX)
     return lines[start : lines.index(b"\r\n", start)].strip().lower()
--- a/src/cranklane/sidecar/request/slot_work.py
+++ b/src/cranklane/sidecar/request/slot_work.py
@@ -1,8 +1,7 @@
-"""Time that the workers of each service spent for one request.
+"""Slot time used for one request, by service, to account for work wasted on failed requests.
 
-A run for a request that fails in the end was wasted. Each sidecar sees only the runs of its
-own worker, so the sums travel up the call tree with the answers, and the sidecar at which the
-request began knows them all when it ends.
+Each sidecar sees only the runs of the local worker, so the sums are returned up the call tree
+with the answers and are complete at the sidecar that received the root request.
 """
 
 from __future__ import annotations
@@ -11,9 +10,9 @@
 
 
 class SlotWork:
-    """Milliseconds that slots were taken, by service.
+    """Milliseconds of slot time by service.
 
-    An answer that is lost takes its sums along: what is known here is a lower bound.
+    A lower bound, because a lost answer loses its sums.
     """
 
     __slots__ = ("_milliseconds",)
@@ -22,7 +21,7 @@
         self._milliseconds: dict[str, int] = {}
 
     def add(self, service: str, milliseconds: int) -> None:
-        """Count a run.
+        """Add the slot time of a run.
 
         >>> work = SlotWork()
         >>> work.add("stock", 20)
@@ -30,18 +29,18 @@
         >>> list(work)
         [('stock', 25)]
         """
-        known = self._milliseconds
-        known[service] = known.get(service, 0) + milliseconds
+        totals = self._milliseconds
+        totals[service] = totals.get(service, 0) + milliseconds
 
-    def add_all(self, other: SlotWork) -> None:
-        """Add the sums of a call made for the same request."""
-        for service, milliseconds in other:
+    def add_all(self, downstream: SlotWork) -> None:
+        """Add the slot time of a downstream call."""
+        for service, milliseconds in downstream:
             self.add(service, milliseconds)
 
     def __iter__(self) -> Iterator[tuple[str, int]]:
-        """Return each service with its milliseconds."""
+        """Iterate over services and their milliseconds."""
         return iter(self._milliseconds.items())
 
     def __bool__(self) -> bool:
-        """Return whether anything was spent."""
+        """Return whether any run has been added."""
         return bool(self._milliseconds)
