--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -129,7 +129,7 @@
         """Return whether it recently refused a request of this or a higher priority."""
         return self.saturated_until > now and priority >= self.saturated_priority
 
-    def failed(self, now: float, failure: Failure) -> None:
+    def record_failure(self, now: float, failure: Failure) -> None:
         """Count a failure and eject the destination if ``ejection_seconds`` requires it."""
         self.consecutive_failures += 1
         seconds = ejection_seconds(failure, self.consecutive_failures)
--- a/src/cranklane/sidecar/routing/feedback.py
+++ b/src/cranklane/sidecar/routing/feedback.py
@@ -59,12 +59,12 @@
         if failure is Failure.SIDECAR_UNREACHABLE:
             self._eject_until_reached(destination, now)
         elif failure is not Failure.NONE:
-            destination.failed(now, failure)
+            destination.record_failure(now, failure)
 
     def _eject_until_reached(self, destination: Destination, now: float) -> None:
         """Eject a destination until a connection succeeds, and start probing it."""
         is_ejected = destination.ejected_until > now
-        destination.failed(now, Failure.SIDECAR_UNREACHABLE)
+        destination.record_failure(now, Failure.SIDECAR_UNREACHABLE)
         if not is_ejected:
             destination.ejected_until = math.inf
             self._peers.forget(destination.address)
--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -72,13 +72,13 @@
     assert order == ["holder", "p.1", "v.1"]
 
 
-def test_the_call_for_the_older_request_goes_first():
+def test_the_call_of_the_older_root_runs_first():
     runs = (("view", "young", 1), ("view", "old", 0))
     order = run_order_at_a_full_worker(*runs, gap=1.0, objective_ms=3000)
     assert order == ["holder", "old.1", "young.1"]
 
 
-def test_the_call_for_a_request_that_can_still_be_in_time_goes_before_a_late_one():
+def test_the_call_of_a_root_that_can_meet_its_objective_runs_before_a_late_one():
     runs = (("view", "late", 0), ("view", "young", 1))
     order = run_order_at_a_full_worker(*runs, gap=1.0, objective_ms=800)
     assert order == ["holder", "young.1", "late.1"]
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -115,8 +115,8 @@
 
 def test_an_ejected_worker_is_chosen_only_if_all_are_ejected():
     sidecar = LocalSidecar()
-    sidecar["a"].failed(sidecar.clock.now, Failure.WORKER_UNREACHABLE)
-    sidecar["b"].failed(sidecar.clock.now, Failure.WORKER_UNREACHABLE)
+    sidecar["a"].record_failure(sidecar.clock.now, Failure.WORKER_UNREACHABLE)
+    sidecar["b"].record_failure(sidecar.clock.now, Failure.WORKER_UNREACHABLE)
     assert sidecar.chosen_nodes() == {"c"}
     assert sidecar.chosen_nodes(tried=("c",)) == {"a", "b"}
     sidecar.clock.now += EJECTION_SECONDS_PER_FAILURE
@@ -126,7 +126,7 @@
 def test_an_answer_resets_the_consecutive_failures():
     sidecar = LocalSidecar()
     for _ in range(3):
-        sidecar["a"].failed(sidecar.clock.now, Failure.COUNTED)
+        sidecar["a"].record_failure(sidecar.clock.now, Failure.COUNTED)
         sidecar["a"].answered(sidecar.clock.now, Load())
     assert sidecar["a"].ejected_until == 0.0
 
@@ -146,7 +146,7 @@
 
 def test_an_isolated_run_goes_to_no_ejected_tried_or_draining_worker():
     sidecar = LocalSidecar()
-    sidecar["a"].failed(sidecar.clock.now, Failure.WORKER_UNREACHABLE)
+    sidecar["a"].record_failure(sidecar.clock.now, Failure.WORKER_UNREACHABLE)
     sidecar["b"].state = MemberState.DRAINING
     identities = [bytes([number]) * 16 for number in range(40)]
     for identity in identities:
