--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -30,7 +30,7 @@
 from cranklane.sidecar.readiness_api import ReadinessApi
 from cranklane.sidecar.request.call_tree import CallTree
 from cranklane.sidecar.routing.destinations import Destinations
-from cranklane.sidecar.routing.dispatcher import Dispatcher, DispatcherParts
+from cranklane.sidecar.routing.dispatcher import Dispatcher, DispatcherDependencies
 from cranklane.sidecar.routing.peer_client import PeerClient
 from cranklane.sidecar.routing.peer_server import PeerServer
 from cranklane.sidecar.routing.retry_budget import RetryBound, RetryBudget
@@ -138,7 +138,7 @@
         choice = WorkerChoice(
             self.destinations, runtime.monotonic, runtime.random, settings.name, settings.zone
         )
-        parts = DispatcherParts(
+        parts = DispatcherDependencies(
             self.destinations,
             choice,
             self.gate,
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -33,7 +33,7 @@
 """Cached because enum attribute lookup is slow and this is the most frequent verdict."""
 
 
-class DispatcherParts(NamedTuple):
+class DispatcherDependencies(NamedTuple):
     """Dependencies of a dispatcher.
 
     :ivar gate: admits requests to the local worker.
@@ -61,7 +61,7 @@
     """
 
     def __init__(
-        self, runtime: Runtime, parts: DispatcherParts, node_name: str, caller: str
+        self, runtime: Runtime, parts: DispatcherDependencies, node_name: str, caller: str
     ) -> None:
         self._runtime = runtime
         self._destinations = parts.destinations
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -14,7 +14,7 @@
 from cranklane.sidecar.request.call import Call, CallProgress
 from cranklane.sidecar.request.call_tree import Root
 from cranklane.sidecar.routing.destination import Destination
-from cranklane.sidecar.routing.dispatcher import Dispatcher, DispatcherParts
+from cranklane.sidecar.routing.dispatcher import Dispatcher, DispatcherDependencies
 from cranklane.sidecar.routing.retry_budget import FleetSize, RetryBound, RetryBudget
 
 NOW = 100.0
@@ -77,7 +77,7 @@
         return self.replies.pop(0)
 
     def result(self, request_call=None):
-        dependencies = DispatcherParts(
+        dependencies = DispatcherDependencies(
             self,
             self,
             None,
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -13,7 +13,7 @@
 from cranklane.sidecar.request.attempt import Reply, refusal, unknown
 from cranklane.sidecar.request.call import Call, CallProgress
 from cranklane.sidecar.request.call_tree import Root
-from cranklane.sidecar.routing.dispatcher import Dispatcher, DispatcherParts
+from cranklane.sidecar.routing.dispatcher import Dispatcher, DispatcherDependencies
 from cranklane.sidecar.routing.retry_policy import (
     CALL_OVER_VERDICTS,
     MAX_CAPACITY_REFUSALS,
@@ -211,7 +211,7 @@
 def dispatcher(budget):
     runtime = SimpleNamespace(monotonic=lambda: NOW)
     quarantine = SimpleNamespace(is_empty=True)
-    dependencies = DispatcherParts(None, None, None, None, budget, quarantine, None, None)
+    dependencies = DispatcherDependencies(None, None, None, None, budget, quarantine, None, None)
     return Dispatcher(runtime, dependencies, "own", "caller")
 
 
