--- a/src/cranklane/sidecar/ingress/caller_connection.py
+++ b/src/cranklane/sidecar/ingress/caller_connection.py
@@ -18,7 +18,7 @@
 from cranklane.common.http1.reader import RequestReader
 from cranklane.routes.table import RouteTable
 from cranklane.runtime.interface import Runtime
-from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
+from cranklane.sidecar.request.attempt import MAX_BUFFERED_BODY_BYTES
 
 DISCARD_SECONDS = 2.0
 """Seconds in which the rest of a body is read and thrown away after an early answer. A choice: a
@@ -81,7 +81,7 @@
     def skip_body(self) -> bool:
         """Read a small body that nobody wants; return whether that was all of it."""
         try:
-            self.read_body(SMALL_BODY_BYTES, SMALL_BODY_BYTES)
+            self.read_body(MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES)
         except (HeadTooLargeError, MalformedMessageError, MessageCutError, OSError):
             # Its answer is known already; only the connection is of no further use.
             return False
--- a/src/cranklane/sidecar/ingress/caller_request.py
+++ b/src/cranklane/sidecar/ingress/caller_request.py
@@ -19,7 +19,7 @@
 from cranklane.common.units import MILLISECONDS
 from cranklane.routes.table import Limits, RouteTable
 from cranklane.sidecar.ingress.caller_connection import CallerConnection
-from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
+from cranklane.sidecar.request.attempt import MAX_BUFFERED_BODY_BYTES
 
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
@@ -87,7 +87,7 @@
         connection.send(_CONTINUE)
     connection.stream.settimeout(limits.idle_timeout_ms / MILLISECONDS)
     try:
-        connection.read_body(SMALL_BODY_BYTES, limits.max_body_bytes)
+        connection.read_body(MAX_BUFFERED_BODY_BYTES, limits.max_body_bytes)
     except HeadTooLargeError as error:
         raise UnreadableRequestError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE) from error
     except MalformedMessageError as error:
--- a/src/cranklane/sidecar/request/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -15,7 +15,7 @@
 BodyReader = Callable[[], bytes]
 """Returns the next chunk of a request body; empty at its end."""
 
-SMALL_BODY_BYTES = 64 * 1024
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
 """Maximum size of a body that is buffered for retries; limits the memory per request."""
 
 AT_CAPACITY = (Reason.QUEUE_FULL, Reason.DEADLINE_TOO_NEAR)
--- a/src/cranklane/sidecar/request/identity.py
+++ b/src/cranklane/sidecar/request/identity.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from cranklane.common.secret_digest import sha256
-from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
+from cranklane.sidecar.request.attempt import MAX_BUFFERED_BODY_BYTES
 
 IDENTITY_BYTES = 16
 """Size of the truncated digest; resists accidental collisions and constructed ones with another
@@ -23,7 +23,7 @@
     """Return the identity of a request.
 
     :param lines: request line and headers.
-    :param body: the bytes of the body read so far, of which ``SMALL_BODY_BYTES`` are used.
+    :param body: the bytes of the body read so far, of which ``MAX_BUFFERED_BODY_BYTES`` are used.
     :param length: declared size of the body in bytes; 0 for the size of ``body``.
 
     >>> lines = b"GET /a HTTP/1.1\\r\\nHost: h\\r\\nId: 1\\r\\n"
@@ -39,7 +39,7 @@
         lines[: lines.index(b"\r\n")],
         _host_header(lines),
         b"%d" % (length or len(body)),
-        body[:SMALL_BODY_BYTES],
+        body[:MAX_BUFFERED_BODY_BYTES],
     )
     digest = sha256()
     for field in fields:
--- a/src/cranklane/sidecar/worker/exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -23,7 +23,7 @@
 from cranklane.records.messages import ForwardRequest
 from cranklane.runtime.interface import Runtime
 from cranklane.sidecar.request.attempt import (
-    SMALL_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
     Attempt,
     Reply,
     refusal,
@@ -194,7 +194,7 @@
         pieces: list[bytes] = []
         size = 0
         whole = False
-        while size < SMALL_BODY_BYTES:
+        while size < MAX_BUFFERED_BODY_BYTES:
             piece = reader.next_piece()
             if not piece:
                 whole = True
