--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -255,7 +255,7 @@
         if self.worker.instance != self._caught_up_for:
             self._caught_up_for = self.worker.instance
             self._runtime.spawn(self.quarantine.anti_entropy.catch_up)
-        self.destinations.set_own(self.own.next_member())
+        self.destinations.set_local_member(self.own.next_member())
         self.control.announce()
 
     # Stop.
--- a/src/cranklane/sidecar/routing/destinations.py
+++ b/src/cranklane/sidecar/routing/destinations.py
@@ -22,7 +22,7 @@
     """Destinations by node and by service.
 
     :param clock: returns monotonic time in seconds.
-    :param node_name: name of the local node; its worker is set with :meth:`set_own`, and
+    :param node_name: name of the local node; its worker is set with :meth:`set_local_member`, and
         updates of it from control are ignored.
     """
 
@@ -73,7 +73,7 @@
             if destination.is_expired(now):
                 self._remove(node)
 
-    def set_own(self, member: Member) -> None:
+    def set_local_member(self, member: Member) -> None:
         """Set the state of the local worker."""
         self._apply(member)
 
--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -101,7 +101,7 @@
     clock = Clock()
     destinations = Destinations(clock, "own")
     choice = WorkerChoice(destinations, clock, Random(1), "own", "a")
-    destinations.set_own(
+    destinations.set_local_member(
         Member(1, 1, MemberState.LIVE, "n", service="s", zone="a", address="127.0.0.1:1", slots=4)
     )
     destination = choice.choose("s", set(), 0)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -21,7 +21,7 @@
     destinations = Destinations(lambda: 1.0, "own")
     for number, (zone, running) in enumerate(loads):
         name = f"{zone}-{number}"
-        destinations.set_own(
+        destinations.set_local_member(
             Member(
                 1,
                 1,
