--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -95,12 +95,12 @@
     def update_load(self, now: float, load: Load) -> None:
         """Set the load and condition reported by the sidecar; ignored if it has no slots."""
         if load.slots:
-            self.take_condition(now, load.condition)
+            self.update_condition(now, load.condition)
             self.slots = load.slots
             self.reported_requests = load.running + load.queued
             self.sent_since_report = 0
 
-    def take_condition(self, now: float, condition: Condition) -> None:
+    def update_condition(self, now: float, condition: Condition) -> None:
         """Set the worker condition as judged by the worker's sidecar."""
         self.condition = condition
         self.condition_at = now
@@ -112,7 +112,7 @@
         """
         if condition != self.control_condition:
             self.control_condition = condition
-            self.take_condition(now, condition)
+            self.update_condition(now, condition)
 
     def record_capacity_refusal(self, now: float, priority: int) -> None:
         """Mark the destination as saturated after it refused a request for lack of capacity.
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -187,7 +187,7 @@
 )
 def test_a_worker_in_bad_condition_has_a_higher_cost(reported_requests, factor):
     sidecar = LocalSidecar()
-    sidecar["a"].take_condition(sidecar.clock.now, reported_requests)
+    sidecar["a"].update_condition(sidecar.clock.now, reported_requests)
     assert condition_factor(sidecar["a"], sidecar.clock.now) == pytest.approx(factor)
 
 
@@ -195,7 +195,7 @@
     sidecar = LocalSidecar()
     for _ in range(60):
         sidecar["a"].slowness.sample(sidecar.clock.now, 4 * TOLERATED)
-    sidecar["a"].take_condition(sidecar.clock.now, Condition(0.0, 2 * TOLERATED))
+    sidecar["a"].update_condition(sidecar.clock.now, Condition(0.0, 2 * TOLERATED))
     assert condition_factor(sidecar["a"], sidecar.clock.now) == pytest.approx(4.0, rel=0.01)
 
 
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -138,7 +138,7 @@
     _, known = destinations_with(clock)
     for _ in range(10):
         known.slowness.sample(clock.now, 9.0)
-    known.take_condition(clock.now, WELL)
+    known.update_condition(clock.now, WELL)
     assert condition_factor(known, clock.now) > 3.0
 
 
