--- a/src/cranklane/sidecar/routing/worker_choice.py
+++ b/src/cranklane/sidecar/routing/worker_choice.py
@@ -71,7 +71,7 @@
         if len(members) <= SUBSET_SIZE:
             return self._best(members, tried, priority, now)
         best = self._best(self._subset_of(service), tried, priority, now)
-        if best is not None and is_at_ease(best, now):
+        if best is not None and is_lightly_loaded_and_healthy(best, now):
             return best
         sampled = self._random.sample(members, SUBSET_SIZE)
         if best is not None:
@@ -145,7 +145,7 @@
         return crc32(f"{self._node_name}/{destination.node}".encode())
 
 
-def is_at_ease(destination: Destination, now: float) -> bool:
+def is_lightly_loaded_and_healthy(destination: Destination, now: float) -> bool:
     """Return whether a destination is lightly loaded, not ejected and in good condition."""
     return (
         destination.load() < WIDEN_LOAD_THRESHOLD
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -201,7 +201,7 @@
     ),
     "subsets that are widened": (
         worker_choice,
-        "is_at_ease",
+        "is_lightly_loaded_and_healthy",
         lambda item, now: True,
         lambda: test_subsets.test_a_subset_in_trouble_is_widened("loaded"),
     ),
