--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -178,7 +178,7 @@
             self._disconnects.remove(connection.stream)
         if run is not None:
             starved = reply.downstream_starved or reply.reason in AT_CAPACITY
-            run.call_ended(_failure_of(progress.call, reply), starved, progress.work)
+            run.record_call_end(_failure_of(progress.call, reply), starved, progress.work)
         return reply
 
     # Answers.
--- a/src/cranklane/sidecar/request/call_tree.py
+++ b/src/cranklane/sidecar/request/call_tree.py
@@ -71,7 +71,7 @@
         """Whether any call of the run has failed."""
         return self.failure is not None
 
-    def call_ended(self, failure: CallFailure | None, starved: bool, work: SlotWork) -> None:
+    def record_call_end(self, failure: CallFailure | None, starved: bool, work: SlotWork) -> None:
         """Record the end of a call of the run.
 
         :param failure: the failed call; None after an answer.
