--- a/src/cranklane/sidecar/admission/run_outcome.py
+++ b/src/cranklane/sidecar/admission/run_outcome.py
@@ -58,7 +58,7 @@
     if reply.reason in _BROKEN_ANSWERS or reply.reason is Reason.WORKER_SHED:
         return True
     if _timed_out(reply):
-        return run.calls_under_way == 0
+        return run.calls_in_flight == 0
     return reply.status == _SERVER_ERROR and not run.call_failed
 
 
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -171,7 +171,7 @@
         """Have a call run, unless its caller leaves before it has ended."""
         self._disconnects.add(connection.stream, progress.cancel)
         if run is not None:
-            run.calls_under_way += 1
+            run.calls_in_flight += 1
         try:
             reply = self._dispatcher.run(progress)
         finally:
--- a/src/cranklane/sidecar/request/call_tree.py
+++ b/src/cranklane/sidecar/request/call_tree.py
@@ -53,7 +53,7 @@
     """An active run at the local worker.
 
     :ivar downstream_starved: whether a direct or indirect call was refused for lack of capacity.
-    :ivar calls_under_way: number of its calls in progress.
+    :ivar calls_in_flight: number of its calls in progress.
     :ivar failure: the first of its calls that failed.
     :ivar tenant: tenant that owns the request; empty if requests need no key.
     :ivar downstream_cost: slot time used by its direct and indirect calls.
@@ -61,7 +61,7 @@
 
     root: Root
     downstream_starved: bool = False
-    calls_under_way: int = 0
+    calls_in_flight: int = 0
     failure: CallFailure | None = None
     downstream_cost: SlotWork = field(default_factory=SlotWork)
     tenant: str = ""
@@ -78,7 +78,7 @@
         :param starved: whether it failed for lack of capacity at any depth.
         :param work: slot time used by the call and its own calls.
         """
-        self.calls_under_way -= 1
+        self.calls_in_flight -= 1
         self.failure = self.failure or failure
         self.downstream_starved |= starved
         self.downstream_cost.add_all(work)
--- a/tests/test_run_outcome.py
+++ b/tests/test_run_outcome.py
@@ -11,9 +11,9 @@
 NONE = Reason.NONE
 
 
-def run(starved=False, call_failed=False, calls_under_way=0):
+def run(starved=False, call_failed=False, calls_in_flight=0):
     failure = CallFailure("below", Reason.QUEUE_FULL) if call_failed else None
-    return Run(Root(0, 0.0, 1.0, 2.0), starved, calls_under_way, failure)
+    return Run(Root(0, 0.0, 1.0, 2.0), starved, calls_in_flight, failure)
 
 
 @pytest.mark.parametrize(
@@ -42,10 +42,10 @@
         (Reply(ANSWERED, status=500), run(call_failed=True), False, False),
         (Reply(ANSWERED, status=500), run(call_failed=True, starved=True), False, True),
         (Reply(ANSWERED, status=504), run(), True, True),
-        (Reply(ANSWERED, status=504), run(calls_under_way=1), False, True),
+        (Reply(ANSWERED, status=504), run(calls_in_flight=1), False, True),
         (Reply(ANSWERED, status=503), run(), False, False),
         (Reply(UNKNOWN, Reason.DEADLINE_PASSED), run(), True, True),
-        (Reply(UNKNOWN, Reason.DEADLINE_PASSED), run(calls_under_way=2), False, True),
+        (Reply(UNKNOWN, Reason.DEADLINE_PASSED), run(calls_in_flight=2), False, True),
         (Reply(UNKNOWN, Reason.WORKER_FAILED), run(call_failed=True), True, False),
         (Reply(UNKNOWN, Reason.WORKER_ENDED), run(), True, False),
         (Reply(UNKNOWN, Reason.WORKER_LEFT), run(), True, False),
