--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -75,7 +75,7 @@
             1, self.slots
         )
 
-    def opened(self) -> None:
+    def record_sent(self) -> None:
         """Count a request sent to the destination."""
         self.in_flight += 1
         self.sent_since_report += 1
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -169,7 +169,7 @@
         progress.current = attempt
         if progress.cancelled:
             return refusal(Reason.CANCELLED)
-        destination.opened()
+        destination.record_sent()
         try:
             if destination.node == self._node_name:
                 reply = self._gate.run(attempt)
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -229,7 +229,7 @@
         request.tried.add(destination.node)
         request.destination = destination
         request.typical = self._times[request.caller].of(ROUTE)
-        destination.opened()
+        destination.record_sent()
         worker = self._workers[destination.node]
         self._at(HOP_SECONDS, lambda: self._arrive(worker, request))
 
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -170,7 +170,7 @@
 def test_requests_sent_since_the_last_report_count_as_load():
     sidecar = LocalSidecar()
     sidecar["a"].update_load(sidecar.clock.now, Load(2, 1, SLOTS))
-    sidecar["a"].opened()
+    sidecar["a"].record_sent()
     assert sidecar["a"].load() == pytest.approx(0.4)
     sidecar["a"].closed()
     assert sidecar["a"].load() == pytest.approx(0.3)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -65,6 +65,6 @@
     counts = {"a-0": 0, "a-1": 0, "b-2": 0}
     for _ in range(6):
         worker = choice.choose("s", set(), 0)
-        worker.opened()
+        worker.record_sent()
         counts[worker.node] += 1
     assert counts["a-1"] > counts["a-0"] > 0
