--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -80,7 +80,7 @@
         self.in_flight += 1
         self.sent_since_report += 1
 
-    def closed(self) -> None:
+    def record_finished(self) -> None:
         """Remove a finished request from the counts."""
         self.in_flight -= 1
         self.sent_since_report = max(0, self.sent_since_report - 1)
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -176,7 +176,7 @@
             else:
                 reply = self._peers.run(destination.address, attempt)
         finally:
-            destination.closed()
+            destination.record_finished()
         progress.attempts += reply.arrived
         if reply.arrived:
             progress.work.add(call.service, reply.run_time_ms)
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -262,7 +262,7 @@
     def _answered(self, request: _Request, failed: bool, seconds: float, load: Load) -> None:
         destination = request.destination
         assert destination is not None
-        destination.closed()
+        destination.record_finished()
         destination.answered(self._now, load)
         if failed:
             self.outcome.failed += 1
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -172,7 +172,7 @@
     sidecar["a"].update_load(sidecar.clock.now, Load(2, 1, SLOTS))
     sidecar["a"].record_sent()
     assert sidecar["a"].load() == pytest.approx(0.4)
-    sidecar["a"].closed()
+    sidecar["a"].record_finished()
     assert sidecar["a"].load() == pytest.approx(0.3)
 
 
