--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -85,7 +85,7 @@
         self.in_flight -= 1
         self.sent_since_report = max(0, self.sent_since_report - 1)
 
-    def answered(self, now: float, load: Load) -> None:
+    def record_answer(self, now: float, load: Load) -> None:
         """Record an answer of the worker and the load reported with it."""
         self.consecutive_failures = 0
         if self.confirmed_at is not None:
--- a/src/cranklane/sidecar/routing/feedback.py
+++ b/src/cranklane/sidecar/routing/feedback.py
@@ -47,7 +47,7 @@
             ratio = self.latencies.ratio(call.route.name, run_time)
             destination.slowness.sample(now, ratio)
         if reply.outcome is Outcome.ANSWERED:
-            destination.answered(now, reply.load)
+            destination.record_answer(now, reply.load)
             return
         destination.update_load(now, reply.load)
         if reply.reason is Reason.QUEUE_FULL:
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -263,7 +263,7 @@
         destination = request.destination
         assert destination is not None
         destination.record_finished()
-        destination.answered(self._now, load)
+        destination.record_answer(self._now, load)
         if failed:
             self.outcome.failed += 1
             return
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -127,7 +127,7 @@
     sidecar = LocalSidecar()
     for _ in range(3):
         sidecar["a"].record_failure(sidecar.clock.now, Failure.COUNTED)
-        sidecar["a"].answered(sidecar.clock.now, Load())
+        sidecar["a"].record_answer(sidecar.clock.now, Load())
     assert sidecar["a"].ejected_until == 0.0
 
 
