--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -184,7 +184,7 @@
     return simulate(1, delay, scenario)
 
 
-def test_what_a_repeated_run_calls_is_not_repeated_again():
+def test_calls_made_by_a_retried_run_are_not_retried():
     assert status_and_attempts_of_a_failing_call(run_is_retried=True) == (500, 1)
     assert status_and_attempts_of_a_failing_call(run_is_retried=False) == (500, 2)
 
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -233,7 +233,7 @@
         Dispatcher,
         "_should_retry",
         retries_within_a_retried_run,
-        test_call_tree.test_what_a_repeated_run_calls_is_not_repeated_again,
+        test_call_tree.test_calls_made_by_a_retried_run_are_not_retried,
     ),
     "early vote for the former leader": (
         voting,
