--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -203,7 +203,7 @@
         worker_choice,
         "is_lightly_loaded_and_healthy",
         lambda item, now: True,
-        lambda: test_subsets.test_a_subset_in_trouble_is_widened("loaded"),
+        lambda: test_subsets.test_a_loaded_or_failing_subset_is_widened("loaded"),
     ),
     "frames made once": (
         NewestFrames,
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize("problem", ["loaded", "ejected", "sick", "full", "draining"])
-def test_a_subset_in_trouble_is_widened(problem):
+def test_a_loaded_or_failing_subset_is_widened(problem):
     now = 50.0
     caller = Caller(1, all_members(), lambda: now)
     for worker in caller.subset():
