--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -197,7 +197,7 @@
         WorkerChoice,
         "_subset_of",
         lambda self, service: self._random.sample(self._destinations.members(service), 16),
-        test_subsets.test_a_caller_with_little_to_do_meets_few_workers,
+        test_subsets.test_a_lightly_loaded_caller_uses_only_its_subset,
     ),
     "subsets that are widened": (
         worker_choice,
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -95,7 +95,7 @@
     return Counter(caller.choose().node for _ in range(count))
 
 
-def test_a_caller_with_little_to_do_meets_few_workers():
+def test_a_lightly_loaded_caller_uses_only_its_subset():
     assert len(choices(Caller(1, all_members()), 400)) <= SUBSET_SIZE
 
 
