--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -191,7 +191,7 @@
         RetryBudget,
         "_expire",
         lambda self, account, now: None,
-        test_retry_budget.test_tokens_of_a_quiet_hour_are_not_spent_at_once,
+        test_retry_budget.test_unspent_tokens_expire,
     ),
     "subsets that stay": (
         WorkerChoice,
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -150,7 +150,7 @@
     assert sum(fleet.retries) <= BOUND.ratio * sum(fleet.requests)
 
 
-def test_tokens_of_a_quiet_hour_are_not_spent_at_once():
+def test_unspent_tokens_expire():
     fleet = Fleet(17, 1)
     fleet.run(Phase(120, 300.0, False, 0.0, False, 1.0))
     fleet.run(Phase(20, 300.0, False, 1.0, False, 1.0))
