--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -67,7 +67,7 @@
     return simulate(1, delay, scenario)
 
 
-def test_the_call_for_the_more_important_request_goes_first():
+def test_the_call_of_the_root_with_higher_priority_runs_first():
     order = run_order_at_a_full_worker(("view", "v", 0), ("pay", "p", 1))
     assert order == ["holder", "p.1", "v.1"]
 
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -151,7 +151,7 @@
         CallTree,
         "run_of",
         lambda self, request: None,
-        test_call_tree.test_the_call_for_the_more_important_request_goes_first,
+        test_call_tree.test_the_call_of_the_root_with_higher_priority_runs_first,
     ),
     "rows that changed": (
         RowChanges,
