--- a/src/cranklane/sidecar/routing/cost.py
+++ b/src/cranklane/sidecar/routing/cost.py
@@ -65,8 +65,8 @@
     by this one, which includes the network path.
     """
     slowness = destination.slowness.at(now)
-    reported_requests = destination.condition
-    if reported_requests.is_well:
+    reported_condition = destination.condition
+    if reported_condition.is_well:
         return max(1.0, slowness / TOLERATED)
-    decayed = reported_requests.decayed(now - destination.condition_at)
+    decayed = reported_condition.decayed(now - destination.condition_at)
     return max(1.0, max(slowness, decayed.slowness) / TOLERATED) + ALL_FAULTS_COST * decayed.faults
--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -20,8 +20,8 @@
 one for lack of capacity. Shorter than a typical run, so that freed slots are soon used."""
 
 UNCONFIRMED_EXPIRY_SECONDS = 10.0
-"""Seconds before a destination expires that control omits from a full list or reports as
-silent; each answer from it restarts them. Longer than a restarted control process takes to
+"""Seconds until a destination expires after control omits it from a full list or reports it as
+silent. Each answer from it restarts the expiry. Longer than a restarted control process takes to
 learn of all members, and than a brief partition between control and reachable sidecars."""
 
 
--- a/src/cranklane/sidecar/routing/destinations.py
+++ b/src/cranklane/sidecar/routing/destinations.py
@@ -131,13 +131,15 @@
             self._grown_at = self._clock()
 
     def _remove(self, node: str) -> None:
-        removed = self._by_node.pop(node, None)
-        if removed is not None:
-            removed.removed = True
+        destination = self._by_node.pop(node, None)
+        if destination is not None:
+            destination.removed = True
             remaining = [
-                worker for worker in self._by_service[removed.service] if worker is not removed
+                worker
+                for worker in self._by_service[destination.service]
+                if worker is not destination
             ]
-            self._by_service[removed.service] = remaining
+            self._by_service[destination.service] = remaining
 
     def members(self, service: str) -> Sequence[Destination]:
         """Return the workers of a service; a new object after each addition or removal."""
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -61,21 +61,21 @@
     """
 
     def __init__(
-        self, runtime: Runtime, parts: DispatcherDependencies, node_name: str, caller: str
+        self, runtime: Runtime, dependencies: DispatcherDependencies, node_name: str, caller: str
     ) -> None:
         self._runtime = runtime
-        self._destinations = parts.destinations
-        self._choice = parts.choice
-        self._gate = parts.gate
-        self._peers = parts.peers
-        self._feedback = DestinationFeedback(runtime, parts.destinations, parts.peers)
+        self._destinations = dependencies.destinations
+        self._choice = dependencies.choice
+        self._gate = dependencies.gate
+        self._peers = dependencies.peers
+        self._feedback = DestinationFeedback(runtime, dependencies.destinations, dependencies.peers)
         self._latencies = self._feedback.latencies
-        self._budget = parts.budget
+        self._budget = dependencies.budget
         self._node_name = node_name
         self._caller = caller
-        self._quarantine = parts.quarantine
-        self._on_attempt = parts.on_attempt
-        self._on_quarantined = parts.on_quarantined
+        self._quarantine = dependencies.quarantine
+        self._on_attempt = dependencies.on_attempt
+        self._on_quarantined = dependencies.on_quarantined
 
     def run(self, progress: CallProgress) -> Reply:
         """Return the answer of a worker, or the reply that states why there is none.
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -177,7 +177,7 @@
 
 
 @pytest.mark.parametrize(
-    ("reported_requests", "factor"),
+    ("reported_condition", "factor"),
     [
         (WELL, 1.0),
         (Condition(0.0, 3 * TOLERATED), 3.0),
@@ -185,9 +185,9 @@
         (Condition(0.5, 3 * TOLERATED), 3.0 + ALL_FAULTS_COST / 2),
     ],
 )
-def test_a_worker_in_bad_condition_has_a_higher_cost(reported_requests, factor):
+def test_a_worker_in_bad_condition_has_a_higher_cost(reported_condition, factor):
     sidecar = LocalSidecar()
-    sidecar["a"].update_condition(sidecar.clock.now, reported_requests)
+    sidecar["a"].update_condition(sidecar.clock.now, reported_condition)
     assert condition_factor(sidecar["a"], sidecar.clock.now) == pytest.approx(factor)
 
 
