--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -19,9 +19,9 @@
 from cranklane.replication.joining import Joining
 from cranklane.replication.membership_change import MembershipChange
 from cranklane.replication.peer_service import PeerService
-from cranklane.replication.port import ReplicaPort
+from cranklane.replication.port_dispatcher import PortDispatcher
 from cranklane.replication.replica import Replica
-from cranklane.replication.state import ReplicaIdentity
+from cranklane.replication.state import ReplicaInfo
 from cranklane.runtime.interface import Runtime, parse_address
 from cranklane.settings import (
     ADDRESS,
@@ -93,14 +93,14 @@
         )
         self.membership = self._nodes.membership
         self.publisher = self._nodes.publisher
-        identity = ReplicaIdentity(GROUP, settings.name, settings.listen, settings.http)
+        identity = ReplicaInfo(GROUP, settings.name, settings.listen, settings.http)
         storage = runtime.storage(settings.data)
         self.replica = Replica(
             runtime, storage, self.store, identity, self.publisher.changed, self._log
         )
         self.changes = MembershipChange(self.replica)
         peers = PeerService(self.replica, self.changes.join)
-        self._port = ReplicaPort(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._hello, self._nodes.serve, SILENT_SECONDS)
         self.editor = Editor(runtime, self.store, self.replica)
 
     def start(self) -> None:
