--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -197,7 +197,7 @@
         if quarantine_reply and reply.retry_after_ms:
             # This sidecar's copy of the quarantine table may be out of date.
             seconds = reply.retry_after_ms / MILLISECONDS
-            self._quarantine.learn(call.service, call.identity(), seconds)
+            self._quarantine.record_refusal(call.service, call.identity(), seconds)
         progress.note_suspicion(destination.node, reply.reason)
 
     def _request(self, progress: CallProgress, now: float) -> ForwardRequest:
