--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -151,7 +151,7 @@
         CallTree,
         "run_of",
         lambda self, request: None,
-        test_call_tree.test_the_call_for_the_more_important_request_goes_first,
+        test_call_tree.test_the_call_of_the_root_with_higher_priority_runs_first,
     ),
     "rows that changed": (
         RowChanges,
@@ -191,19 +191,19 @@
         RetryBudget,
         "_expire",
         lambda self, account, now: None,
-        test_retry_budget.test_tokens_of_a_quiet_hour_are_not_spent_at_once,
+        test_retry_budget.test_unspent_tokens_expire,
     ),
     "subsets that stay": (
         WorkerChoice,
         "_subset_of",
         lambda self, service: self._random.sample(self._destinations.members(service), 16),
-        test_subsets.test_a_caller_with_little_to_do_meets_few_workers,
+        test_subsets.test_a_lightly_loaded_caller_uses_only_its_subset,
     ),
     "subsets that are widened": (
         worker_choice,
-        "is_at_ease",
+        "is_lightly_loaded_and_healthy",
         lambda item, now: True,
-        lambda: test_subsets.test_a_subset_in_trouble_is_widened("loaded"),
+        lambda: test_subsets.test_a_loaded_or_failing_subset_is_widened("loaded"),
     ),
     "frames made once": (
         SharedFrameCache,
@@ -233,7 +233,7 @@
         Dispatcher,
         "_should_retry",
         retries_within_a_retried_run,
-        test_call_tree.test_what_a_repeated_run_calls_is_not_repeated_again,
+        test_call_tree.test_calls_made_by_a_retried_run_are_not_retried,
     ),
     "early vote for the former leader": (
         voting,
