--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -97,7 +97,7 @@
 
     def reload(self, settings: SidecarSettings) -> None:
         """Use the seeds of new settings for the next connection to control."""
-        self.subscription.start_from(_controllers(settings))
+        self.subscription.set_initial_controls(_controllers(settings))
 
     def announce(self) -> None:
         """Report this sidecar's state at once instead of with the next heartbeat."""
@@ -107,7 +107,7 @@
         """Report tenants' usage while there is any; never returns."""
         quota = self._state.quota
         while True:
-            quota.used.wait()
+            quota.usage_pending.wait()
             gevent.sleep(USAGE_REPORT_DELAY_SECONDS)
             self.subscription.send(self._usage)
 
--- a/src/cranklane/sidecar/ingress/caller_connection.py
+++ b/src/cranklane/sidecar/ingress/caller_connection.py
@@ -15,7 +15,7 @@
 from cranklane.common.http1.reader import RequestReader
 from cranklane.routes.table import RouteTable
 from cranklane.runtime.interface import Runtime
-from cranklane.sidecar.request.attempt import SMALL_BODY_BYTES
+from cranklane.sidecar.request.attempt import MAX_BUFFERED_BODY_BYTES
 
 LINGER_SECONDS = 2.0
 """Seconds during which incoming bytes are read and discarded after an early answer."""
@@ -80,7 +80,7 @@
     def discard_body(self) -> bool:
         """Read and discard a small body; return whether it was read completely."""
         try:
-            self.read_body(SMALL_BODY_BYTES, SMALL_BODY_BYTES)
+            self.read_body(MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES)
         except (HeadTooLargeError, MalformedMessageError, MessageCutError, OSError):
             # The answer does not depend on the body; only the connection cannot be reused.
             return False
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -170,14 +170,14 @@
         """Dispatch a call; cancel it if its caller disconnects."""
         self._disconnects.add(connection.stream, progress.cancel)
         if run is not None:
-            run.calls_under_way += 1
+            run.calls_in_flight += 1
         try:
             reply = self._dispatcher.run(progress)
         finally:
             self._disconnects.remove(connection.stream)
         if run is not None:
             starved = reply.downstream_starved or reply.reason in AT_CAPACITY
-            run.call_ended(_failure_of(progress.call, reply), starved, progress.work)
+            run.record_call_end(_failure_of(progress.call, reply), starved, progress.work)
         return reply
 
     def _refuse(self, connection: CallerConnection, request: CallerRequest, reply: Reply) -> bool:
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -229,7 +229,7 @@
         request.tried.add(destination.node)
         request.destination = destination
         request.typical = self._times[request.caller].of(ROUTE)
-        destination.opened()
+        destination.record_sent()
         worker = self._workers[destination.node]
         self._at(HOP_SECONDS, lambda: self._arrive(worker, request))
 
@@ -264,8 +264,8 @@
     def _answered(self, request: _Request, failed: bool, seconds: float, load: Load) -> None:
         destination = request.destination
         assert destination is not None
-        destination.closed()
-        destination.answered(self._now, load)
+        destination.record_finished()
+        destination.record_answer(self._now, load)
         if failed:
             self.outcome.failed += 1
             return
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -92,7 +92,7 @@
         original_add(self, call)
 
     def take(self: FairQueue, _in_flight: Any, _newest_first: bool) -> Any:
-        for call in sorted(self, key=lambda item: item.since):
+        for call in sorted(self, key=lambda item: item.queued_at):
             self.remove(call)
             return call
         return None
@@ -100,14 +100,14 @@
     def victim(_self: FairQueue, _newcomer: Any, _in_flight: Any) -> None:
         return None
 
-    def ahead_of(self: FairQueue, _tenant: str, _criticality: Criticality) -> int:
+    def count_ahead(self: FairQueue, _tenant: str, _criticality: Criticality) -> int:
         return self.size
 
     return [
         Replacement(FairQueue, "add", add),
         Replacement(FairQueue, "take", take),
         Replacement(FairQueue, "victim", victim),
-        Replacement(FairQueue, "ahead_of", ahead_of),
+        Replacement(FairQueue, "count_ahead", count_ahead),
     ]
 
 
@@ -194,8 +194,8 @@
 
 def _subscribers_kept() -> list[Replacement]:
     return [
-        Replacement(Publisher, "send_away", lambda _self, *_limits: 0),
-        Replacement(Subscription, "newer_seen", lambda _self: None),
+        Replacement(Publisher, "end_subscriptions", lambda _self, *_limits: 0),
+        Replacement(Subscription, "on_newer_version", lambda _self: None),
     ]
 
 
@@ -205,7 +205,7 @@
 
 def _identity_by_name() -> list[Replacement]:
     def identity(self: Replica) -> int:
-        return zlib.crc32(self.own.name.encode()) | 1
+        return zlib.crc32(self.info.name.encode()) | 1
 
     return [Replacement(Replica, "identity", property(identity))]
 
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -18,7 +18,7 @@
 import test_worker_condition
 from cranklane.controller.route_store import RouteTableStore
 from cranklane.controller.row_changes import RowChanges
-from cranklane.distribution.shared_frames import NewestFrames
+from cranklane.distribution.shared_frames import SharedFrameCache
 from cranklane.outcome import Outcome
 from cranklane.replication import voting
 from cranklane.replication.election import Election
@@ -147,7 +147,7 @@
         CallTree,
         "run_of",
         lambda self, request: None,
-        test_call_tree.test_the_call_for_the_more_important_request_goes_first,
+        test_call_tree.test_the_call_of_the_root_with_higher_priority_runs_first,
     ),
     "deltas of changed rows": (
         RowChanges,
@@ -187,25 +187,25 @@
         RetryBudget,
         "_expire",
         lambda self, account, now: None,
-        test_retry_budget.test_tokens_of_a_quiet_hour_are_not_spent_at_once,
+        test_retry_budget.test_unspent_tokens_expire,
     ),
     "stable subsets": (
         WorkerChoice,
         "_subset_of",
         lambda self, service: self._random.sample(self._destinations.members(service), 16),
-        test_subsets.test_a_caller_with_little_to_do_meets_few_workers,
+        test_subsets.test_a_lightly_loaded_caller_uses_only_its_subset,
     ),
     "widening of subsets": (
         worker_choice,
-        "is_at_ease",
+        "is_lightly_loaded_and_healthy",
         lambda destination, now: True,
-        lambda: test_subsets.test_a_subset_in_trouble_is_widened("loaded"),
+        lambda: test_subsets.test_a_loaded_or_failing_subset_is_widened("loaded"),
     ),
     "frames shared between subscribers": (
-        NewestFrames,
+        SharedFrameCache,
         "get",
         lambda self, span, make: make(),
-        test_publisher_frames.test_frames_of_an_older_state_are_made_anew,
+        test_publisher_frames.test_frames_of_an_older_position_are_encoded_again,
     ),
     "condition factor": (
         cost,
@@ -229,12 +229,12 @@
         Dispatcher,
         "_should_retry",
         retry_within_a_retried_run,
-        test_call_tree.test_what_a_repeated_run_calls_is_not_repeated_again,
+        test_call_tree.test_calls_made_by_a_retried_run_are_not_retried,
     ),
     "early vote for the former leader": (
         voting,
         "may_support_a_lease",
-        lambda voter, request: voter.leads or voter.timer_fresh,
+        lambda voter, request: voter.leads or voter.timer_restarted_recently,
         lambda: test_controllers.test_after_all_were_killed_the_former_leader_leads_at_once(
             1, True
         ),
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -15,7 +15,7 @@
 import test_tenants
 from cranklane.controller import confirmation
 from cranklane.runtime.real import RealRuntime
-from cranklane.sidecar.admission.tenant_quota import UPDATE_SECONDS
+from cranklane.sidecar.admission.tenant_quota import UPDATE_TTL_SECONDS
 from cranklane_lab.simulation.process import SimulatedProcess
 from mesh_support import play, runs
 
@@ -134,7 +134,7 @@
     suspend(machine)
     gevent.sleep(SUSPENSION_SECONDS)
     quota = machine.sidecar.quota
-    return quota._clock() - quota._updated_at <= UPDATE_SECONDS
+    return quota._clock() - quota._updated_at <= UPDATE_TTL_SECONDS
 
 
 def test_a_suspended_sidecar_does_not_use_expired_shares():
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -143,7 +143,7 @@
     _, destination = destinations_with(clock)
     for _ in range(10):
         destination.slowness.sample(clock.now, 9.0)
-    destination.take_condition(clock.now, HEALTHY)
+    destination.update_condition(clock.now, HEALTHY)
     assert condition_factor(destination, clock.now) > 3.0
 
 
