--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -20,7 +20,7 @@
 from cranklane.routes.table import RouteTable
 from cranklane.routes.tenants import Tenant
 from cranklane.sidecar.admission import tenant_quota
-from cranklane.sidecar.admission.tenant_quota import OWN_SHARE_BURST, TenantQuota
+from cranklane.sidecar.admission.tenant_quota import LOCAL_SHARE_BURST, TenantQuota
 from cranklane.sidecar.table import table_lease
 from cranklane.sidecar.table.table_lease import TableLease
 from cranklane_lab.simulation.mesh import Mesh, route_table
@@ -262,7 +262,7 @@
 
 
 def test_without_the_lease_a_revoked_key_would_run(monkeypatch):
-    monkeypatch.setattr(table_lease.TableLease, "holds", True)
+    monkeypatch.setattr(table_lease.TableLease, "is_valid", True)
     assert play(revoke_key_of_isolated_sidecar)[1] == 200
 
 
@@ -309,22 +309,22 @@
 def test_a_lease_counts_from_the_time_of_the_request():
     now = [100.0]
     lease = TableLease(lambda: now[0], 5.0)
-    assert not lease.holds
+    assert not lease.is_valid
     lease.confirmed(newest_at=96.0, revision=3, in_force=3)
-    assert lease.holds
+    assert lease.is_valid
     now[0] = 101.0
-    assert not lease.holds
+    assert not lease.is_valid
 
 
 def test_a_lease_requires_the_confirmed_table_in_force():
     now = [100.0]
     lease = TableLease(lambda: now[0], 5.0)
     lease.confirmed(newest_at=100.0, revision=4, in_force=3)
-    assert not lease.holds
+    assert not lease.is_valid
     lease.adopted(3)
-    assert not lease.holds
+    assert not lease.is_valid
     lease.adopted(4)
-    assert lease.holds
+    assert lease.is_valid
 
 
 # Rate limits.
@@ -497,4 +497,4 @@
 def test_a_just_started_sidecar_admits_its_local_share():
     quota = TenantQuota(lambda: 5.0, Random(1), lambda: 71)
     tenant = Tenant("a", 0, 10, 10)
-    assert sum(quota.admits(tenant) for _ in range(10)) == OWN_SHARE_BURST
+    assert sum(quota.admits(tenant) for _ in range(10)) == LOCAL_SHARE_BURST
