--- a/src/cranklane/cli/__init__.py
+++ b/src/cranklane/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Command lines of the product."""
+"""Command line of operators, and the entry point of the daemons."""
--- a/src/cranklane/cli/client.py
+++ b/src/cranklane/cli/client.py
@@ -1,7 +1,4 @@
-"""Calls the operator interface of control.
-
-Owns nothing; asks each control process given until one that leads answers.
-"""
+"""HTTP client of the operator interface; tries control processes until one responds as leader."""
 
 from __future__ import annotations
 
@@ -18,35 +15,39 @@
 from cranklane.runtime.interface import parse_address
 from cranklane.runtime.real import RealRuntime
 
-TIMEOUT_SECONDS = 75.0
-"""Seconds for one call. A choice: longer than control itself waits for anything."""
+CALL_TIMEOUT_SECONDS = 75.0
+"""Timeout of one call; longer than any wait inside control."""
 
-ROUNDS = 5
-"""How often all control processes are asked while none of them leads. A choice: with
-ROUND_SECONDS, longer than an election takes."""
+MAX_ROUNDS = 5
+"""Rounds of calls to all control processes before giving up; with the delay between rounds, they
+last longer than an election."""
 
-ROUND_SECONDS = 0.6
-"""Seconds between two rounds. A choice: one call a second and process is no load."""
+ROUND_DELAY_SECONDS = 0.6
+"""Delay between two rounds."""
 
 
 @dataclass(frozen=True)
 class OperatorProblem:
-    """Why a call to control did not succeed.
+    """Error of a failed call to the operator interface.
 
-    :ivar status: HTTP status, or 0 when no control process answered.
+    :ivar status: HTTP status, or 0 without a valid response.
+    :ivar lines: error messages for the operator.
     """
 
     status: int
     lines: list[str] = field(default_factory=list)
 
     @property
-    def another_may_answer(self) -> bool:
-        """Whether it is worth asking another control process, or this one later."""
+    def is_retriable(self) -> bool:
+        """Whether another control process, or a later attempt, may succeed."""
         return self.status in (0, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 class OperatorClient:
-    """Calls the control process that leads, whichever of those given it is."""
+    """Calls whichever of the given control processes is the leader.
+
+    :param controls: their addresses as ``host:port``.
+    """
 
     def __init__(self, controls: list[str], token: str) -> None:
         self._runtime = RealRuntime()
@@ -54,20 +55,20 @@
         self._token = token
 
     def call(self, method: str, path: str, media: Any = None) -> Result[dict, OperatorProblem]:
-        """Make one call and return the answer's JSON.
+        """Call the leader and return the response's JSON.
 
-        :param media: the body, as JSON; None sends none.
+        :param media: JSON value of the request body; None for no body.
         """
-        problem = OperatorProblem(0, ["no control address is given"])
-        for round_number in range(ROUNDS):
+        problem = OperatorProblem(0, ["expected at least one control address, found none"])
+        for round_number in range(MAX_ROUNDS):
             if round_number:
-                gevent.sleep(ROUND_SECONDS)
+                gevent.sleep(ROUND_DELAY_SECONDS)
             for control in self._controls:
                 result = self._call_one(control, method, path, media)
                 if not isinstance(result, Err):
                     return result
                 problem = result.err_value
-                if not problem.another_may_answer:
+                if not problem.is_retriable:
                     return result
         return Err(problem)
 
@@ -85,18 +86,18 @@
         body = json.dumps(media).encode() if media is not None else b""
         client = HttpClient(self._runtime, address)
         try:
-            response = client.request(method, path, headers, body, TIMEOUT_SECONDS)
+            response = client.request(method, path, headers, body, CALL_TIMEOUT_SECONDS)
             answer = json.loads(response.read() or b"{}")
         except (HttpRequestError, AnswerCutError, ValueError) as error:
             return Err(OperatorProblem(0, [f"{control}: {error}"]))
         finally:
             client.close()
         if response.status >= HTTPStatus.MULTIPLE_CHOICES:
-            return Err(OperatorProblem(response.status, _lines(response.status, answer)))
+            return Err(OperatorProblem(response.status, _error_lines(response.status, answer)))
         return Ok(answer)
 
 
-def _lines(status: int, answer: dict[str, Any]) -> list[str]:
+def _error_lines(status: int, answer: dict[str, Any]) -> list[str]:
     if answer.get("problems"):
         return list(answer["problems"])
     if answer.get("result") == "conflict":
--- a/src/cranklane/cli/common.py
+++ b/src/cranklane/cli/common.py
@@ -1,4 +1,4 @@
-"""Options and calls shared by the operators' commands; ends a command that fails."""
+"""Options, HTTP calls and error exits shared by the operator commands."""
 
 from __future__ import annotations
 
@@ -9,19 +9,25 @@
 
 from cranklane.cli.client import OperatorClient, OperatorProblem
 
-Control = Annotated[str, typer.Option(envvar="CRANKLANE_CONTROL", help="host:port of control")]
-Token = Annotated[str, typer.Option(envvar="CRANKLANE_TOKEN", help="the operator's token")]
+Control = Annotated[
+    str, typer.Option(envvar="CRANKLANE_CONTROL", help="comma-separated host:port of control")
+]
+Token = Annotated[str, typer.Option(envvar="CRANKLANE_TOKEN", help="operator token")]
 
 
 def fail(lines: list[str]) -> typer.Exit:
-    """Print the lines to standard error; return what to raise."""
+    """Print error lines to standard error; return the exception that exits with status 1."""
     for line in lines:
         typer.echo(line, err=True)
     return typer.Exit(1)
 
 
 def call(control: str, token: str, method: str, path: str, media: Any = None) -> dict[str, Any]:
-    """Call control and return its answer; end the command when it gives none."""
+    """Call the HTTP interface for operators and return the response's JSON.
+
+    :param control: ``host:port`` of each process to try, separated by commas.
+    :raises typer.Exit: when the call fails; its errors are printed.
+    """
     result = OperatorClient(control.split(","), token).call(method, path, media)
     if isinstance(result, Err):
         problem: OperatorProblem = result.err_value
--- a/src/cranklane/cli/configuration.py
+++ b/src/cranklane/cli/configuration.py
@@ -1,4 +1,4 @@
-"""Commands on the configuration that control keeps."""
+"""Commands that read and edit the configuration documents stored by control."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from cranklane.policy.model import states_anything
 
 REQUEST_ID_BYTES = 8
-"""Random bytes of an edit's request id. A choice: no two edits meet by accident."""
+"""Random bytes in the request id of an edit; makes collisions negligible."""
 
-config_commands = typer.Typer(no_args_is_help=True, help="Read and change what is in force.")
+config_commands = typer.Typer(no_args_is_help=True, help="Read and edit the active configuration.")
 
 
 @config_commands.command("list")
 def config_list(control: Control, token: Token) -> None:
-    """List the documents and their versions."""
+    """List all documents with their versions."""
     for document in call(control, token, "GET", "/v1/documents")["documents"]:
         typer.echo(f"{document['version']:>8}  {document['name']}")
 
@@ -41,7 +41,7 @@
 
 @config_commands.command("diff")
 def config_diff(name: str, path: Path, control: Control, token: Token) -> None:
-    """Print what a file would change in a document's text."""
+    """Print the difference between a document's text and a file."""
     current = call(control, token, "GET", f"/v1/documents/{name}")
     for line in difflib.unified_diff(
         current["text"].splitlines(), path.read_text().splitlines(), name, str(path), lineterm=""
@@ -55,12 +55,16 @@
     control: Control,
     token: Token,
     base: Annotated[
-        int | None, typer.Option(help="version the edit started from; default: the one in force")
+        int | None, typer.Option(help="version that the edit is based on; default: the current one")
     ] = None,
-    request: Annotated[str | None, typer.Option(help="request id, to resend the same edit")] = None,
-    wait: Annotated[bool, typer.Option(help="wait until it is in force on all nodes")] = True,
+    request: Annotated[
+        str | None, typer.Option(help="request id; reuse it to resend the same edit")
+    ] = None,
+    wait: Annotated[
+        bool, typer.Option(help="wait until the edit is in force on all live nodes")
+    ] = True,
 ) -> None:
-    """Put a policy text in force; each tenant in it is a document of its own."""
+    """Apply a policy file; stores each tenant in a separate document."""
     policy = read_policy(path)
     request = request or secrets.token_hex(REQUEST_ID_BYTES)
     documents = [(tenant.name, tenant.source) for tenant in policy.tenants]
@@ -68,17 +72,17 @@
         documents.insert(0, ("root", policy.source))
     version = 0
     for name, text in documents:
-        version = _apply_one(control, token, name, text, base, f"{request}-{name}")
+        version = _apply_document(control, token, name, text, base, f"{request}-{name}")
     if wait and version:
         config_wait(version, control, token)
 
 
-def _apply_one(
+def _apply_document(
     control: str, token: str, name: str, text: str, base: int | None, request: str
 ) -> int:
     if base is None:
-        listed = call(control, token, "GET", "/v1/documents")["documents"]
-        base = next((item["version"] for item in listed if item["name"] == name), 0)
+        documents = call(control, token, "GET", "/v1/documents")["documents"]
+        base = next((document["version"] for document in documents if document["name"] == name), 0)
     media = {"text": text, "base": base, "request": request}
     answer = call(control, token, "PUT", f"/v1/documents/{name}", media)
     typer.echo(f"{name}: {answer['result']}, version {answer['version']}")
@@ -87,7 +91,7 @@
 
 @config_commands.command("wait")
 def config_wait(version: int, control: Control, token: Token, seconds: float = 10.0) -> None:
-    """Wait until a version is in force on all live nodes; name those behind."""
+    """Wait until a version is in force on all live nodes; on a timeout, list the others."""
     answer = call(control, token, "GET", f"/v1/wait?version={version}&seconds={seconds}")
     if not answer["in_force"]:
         raise fail([f"version {version} is not in force on: {', '.join(answer['behind'])}"])
--- a/src/cranklane/cli/control.py
+++ b/src/cranklane/cli/control.py
@@ -1,4 +1,4 @@
-"""Commands on the replicas of control and on their back-ups."""
+"""Commands that manage control replicas, backups and data folders."""
 
 from __future__ import annotations
 
@@ -14,14 +14,13 @@
 from cranklane.errors import DamagedLogError
 from cranklane.runtime.real import FileStorage
 
-control_commands = typer.Typer(no_args_is_help=True, help="Replicas of control and back-ups.")
+control_commands = typer.Typer(no_args_is_help=True, help="Manage control replicas and backups.")
 
-WAIT_SECONDS = 60.0
-"""Seconds that a replica has to vote. A choice: time to copy the state of a large fleet."""
+VOTER_TIMEOUT_SECONDS = 60.0
+"""Time for a replica to join, copy the state of a large fleet and become a voter."""
 
-POLL_SECONDS = 0.3
-"""Seconds between looks at whether it votes. A choice: an operator waits for it, and control
-hardly notices."""
+VOTER_POLL_SECONDS = 0.3
+"""Interval at which the replica's role is polled."""
 
 
 def _replicas(control: str, token: str) -> list[dict[str, Any]]:
@@ -31,48 +30,55 @@
 @control_commands.command("list")
 def list_replicas(control: Control, token: Token) -> None:
     """List the replicas of the control group."""
-    for item in _replicas(control, token):
-        leads = "leads" if item["leads"] else ""
+    for replica in _replicas(control, token):
+        leads = "leads" if replica["leads"] else ""
         typer.echo(
-            f"{item['name']:<24} {item['role']:<13} {leads:<6} {item['address']:<22} "
-            f"http {item['http']:<22} identity {item['identity']}"
+            f"{replica['name']:<24} {replica['role']:<13} {leads:<6} {replica['address']:<22} "
+            f"http {replica['http']:<22} identity {replica['identity']}"
         )
 
 
 @control_commands.command()
 def add(name: str, control: Control, token: Token) -> None:
-    """Let a replica vote; its process must have joined. Waits until it does."""
+    """Make a replica that has joined the group a voter; wait until it is one."""
     _make_voter(name, control, token)
     typer.echo(f"{name} votes")
 
 
 def _make_voter(name: str, control: str, token: str) -> None:
-    """Let a replica vote as soon as it has joined; fail when it does not in time."""
-    until = time.monotonic() + WAIT_SECONDS
-    asked = False
+    """Promote a replica to voter once it has joined, and wait for it.
+
+    :raises typer.Exit: when it is not a voter after ``VOTER_TIMEOUT_SECONDS``.
+    """
+    deadline = time.monotonic() + VOTER_TIMEOUT_SECONDS
+    promotion_requested = False
     while True:
-        found = [item for item in _replicas(control, token) if item["name"] == name]
-        if found and found[0]["role"] == "voter":
+        matching = [replica for replica in _replicas(control, token) if replica["name"] == name]
+        if matching and matching[0]["role"] == "voter":
             return
-        if found and not asked:
+        if matching and not promotion_requested:
             call(control, token, "PUT", f"/v1/replicas/{name}", {"voter": True})
-            asked = True
-        if time.monotonic() >= until:
-            problem = "has not caught up" if found else "has not joined; start it first"
+            promotion_requested = True
+        if time.monotonic() >= deadline:
+            problem = (
+                "has not caught up with the leader"
+                if matching
+                else "has not joined the group; start its process first"
+            )
             raise fail([f"{name} {problem}"])
-        time.sleep(POLL_SECONDS)
+        time.sleep(VOTER_POLL_SECONDS)
 
 
 @control_commands.command()
 def remove(name: str, control: Control, token: Token) -> None:
-    """Remove a replica, unless too few voters that answer would be left."""
+    """Remove a replica, unless too few responding voters would remain."""
     call(control, token, "DELETE", f"/v1/replicas/{name}")
     typer.echo(f"{name} removed")
 
 
 @control_commands.command()
 def replace(old: str, new: str, control: Control, token: Token) -> None:
-    """Let NEW vote, then remove OLD; a quorum is kept at every step."""
+    """Make NEW a voter, then remove OLD; keeps a quorum at every step."""
     _make_voter(new, control, token)
     call(control, token, "DELETE", f"/v1/replicas/{old}")
     typer.echo(f"{new} votes, {old} removed")
@@ -80,9 +86,9 @@
 
 @control_commands.command()
 def snapshot(path: Path, control: Control, token: Token) -> None:
-    """Write a back-up of all that is accepted now to a new file."""
+    """Write a backup of the current configuration to a new file."""
     if path.exists():
-        raise fail([f"{path}: is there already"])
+        raise fail([f"{path}: file already exists"])
     data = base64.b64decode(call(control, token, "GET", "/v1/snapshot")["snapshot"])
     FileStorage(path.parent).replace(path.name, data)
     typer.echo(f"{path}: {len(data)} bytes, {_summary(backup.inspect_backup(data))}")
@@ -90,7 +96,7 @@
 
 @control_commands.command()
 def restore(path: Path, data: Annotated[Path, typer.Option(help="an empty data folder")]) -> None:
-    """Put a back-up into an empty data folder; start its process as the founder."""
+    """Restore a backup into an empty data folder, for a process started as the founder."""
     try:
         restored = backup.restore(FileStorage(data), path.read_bytes())
     except (OSError, DamagedLogError) as error:
@@ -100,18 +106,18 @@
 
 @control_commands.command()
 def inspect(path: Path) -> None:
-    """Print what a back-up, or the data folder of a stopped process, holds."""
-    found = _inspect(path)
-    typer.echo(_summary(found))
-    if found.torn_bytes:
-        typer.echo(f"a torn tail of {found.torn_bytes} bytes was cut")
-    for name, version in found.documents:
+    """Summarize a backup or the data folder of a stopped process."""
+    inspection = _inspect(path)
+    typer.echo(_summary(inspection))
+    if inspection.torn_bytes:
+        typer.echo(f"discarded a torn tail of {inspection.torn_bytes} bytes")
+    for name, version in inspection.documents:
         typer.echo(f"{version:>8}  {name}")
 
 
 @control_commands.command()
 def verify(path: Path) -> None:
-    """Check a back-up, or the data folder of a stopped process; exit 1 when damaged."""
+    """Verify a backup or the data folder of a stopped process; exit with 1 if corrupted."""
     typer.echo(f"{path}: sound; {_summary(_inspect(path))}")
 
 
@@ -124,8 +130,9 @@
         raise fail([f"{path}: {error}"]) from error
 
 
-def _summary(found: backup.Inspection) -> str:
+def _summary(inspection: backup.Inspection) -> str:
     return (
-        f"snapshot after entry {found.snapshot_index} of term {found.term} with revision "
-        f"{found.revision}, {found.entries} entries after it with {found.edits} edits"
+        f"snapshot after entry {inspection.snapshot_index} of term {inspection.term} "
+        f"with revision {inspection.revision}, {inspection.entries} entries after it "
+        f"with {inspection.edits} edits"
     )
--- a/src/cranklane/cli/daemon.py
+++ b/src/cranklane/cli/daemon.py
@@ -1,7 +1,7 @@
-"""Runs one of the daemons until a signal stops it.
+"""Runs a daemon until SIGTERM or SIGINT.
 
-Owns what all daemons share: flags and settings, signals, reloading, the exit status, and how
-the garbage collector runs.
+Covers what all daemons share: flags, settings and their reload, signals, exit statuses and
+tuning of the garbage collector.
 """
 
 from __future__ import annotations
@@ -23,32 +23,35 @@
 from cranklane.runtime.real import RealRuntime
 from cranklane.settings import load
 
-COLLECTOR_THRESHOLDS = (10_000, 20, 20)
-"""Allocations between two collections of the youngest objects, and of these between those of
-older ones. The default of 700 runs one for each five requests or so."""
+GC_THRESHOLDS = (10_000, 20, 20)
+"""Thresholds of the three garbage collector generations; Python's lower defaults would run a
+collection every few requests."""
 
-EXIT_UNFINISHED = 1
-"""Exit status when a planned stop has cut what was in flight."""
+EXIT_DRAIN_INCOMPLETE = 1
+"""Exit status when a planned stop aborted requests in flight."""
 
-EXIT_SETTINGS = 2
-"""Exit status for wrong settings or a port that is taken."""
+EXIT_START_FAILED = 2
+"""Exit status for invalid settings, or an operating system error such as a port in use."""
 
-EXIT_DAMAGED = 3
-"""Exit status for a data folder that cannot be trusted."""
+EXIT_DATA_CORRUPTED = 3
+"""Exit status for corrupted files in the data folder."""
 
-SETTINGS_CHECK_SECONDS = 2.0
-"""Seconds between looks at whether the settings file has changed. A choice: soon enough for an
-operator who watches."""
+SETTINGS_POLL_SECONDS = 2.0
+"""Interval at which the settings file is checked for changes."""
 
 
 class Process(Protocol):
-    """What every daemon can do."""
+    """Interface of a daemon."""
 
     def start(self) -> None:
-        """Open the ports."""
+        """Open the listening ports.
+
+        :raises DamagedLogError: when files in the data folder are corrupted.
+        :raises OSError: when a port or file cannot be opened.
+        """
 
     def stop(self) -> bool:
-        """Stop as planned; return whether everything in flight was finished."""
+        """Drain and stop; return whether all requests in flight finished."""
 
 
 def _kinds(command: str) -> tuple[Any, Any]:
@@ -75,111 +78,113 @@
     return NodeProcess, NodeSettings
 
 
-def _parse(command: str, kind: Any, arguments: list[str]) -> dict[str, str | None]:
+def _parse(command: str, settings_class: Any, arguments: list[str]) -> dict[str, str | None]:
     parser = argparse.ArgumentParser(prog=f"cranklane {command}")
-    parser.add_argument("--settings", help="TOML file with settings; flags go before it")
-    for item in fields(kind):
-        parser.add_argument(f"--{item.name.replace('_', '-')}", help=item.metadata["help"])
+    parser.add_argument("--settings", help="TOML settings file; flags override its values")
+    for setting in fields(settings_class):
+        parser.add_argument(f"--{setting.name.replace('_', '-')}", help=setting.metadata["help"])
     return vars(parser.parse_args(arguments))
 
 
-def run(command: str, arguments: list[str], **parts: Any) -> int:
-    """Run a daemon; return its exit status.
+def run(command: str, arguments: list[str], **process_arguments: Any) -> int:
+    """Run a daemon until a signal stops it; return the exit status.
 
-    :param parts: further arguments of the daemon's class.
+    :param command: name of the daemon, such as ``sidecar``.
+    :param arguments: flags.
+    :param process_arguments: additional keyword arguments for the daemon's class.
     """
-    process_kind, settings_kind = _kinds(command)
-    flags = _parse(command, settings_kind, arguments)
+    process_class, settings_class = _kinds(command)
+    flags = _parse(command, settings_class, arguments)
     path = flags.pop("settings")
 
     def read_settings() -> Any:
-        return load(settings_kind, path, flags)
+        return load(settings_class, path, flags)
 
     try:
         settings = read_settings()
     except SettingsError as error:
         print("\n".join(error.problems), file=sys.stderr)
-        return EXIT_SETTINGS
-    lines = configure_logs()
-    _stop_at_broken_invariants()
-    process: Process = process_kind(RealRuntime(), settings, **parts)
-    stop_requested = _stop_signal()
-    failure = _start(process, settings)
-    if failure is not None:
-        return failure
+        return EXIT_START_FAILED
+    log_queue = configure_logs()
+    _exit_on_invariant_error()
+    process: Process = process_class(RealRuntime(), settings, **process_arguments)
+    stop_requested = _handle_stop_signals()
+    exit_status = _start(process, settings)
+    if exit_status is not None:
+        return exit_status
     reload = getattr(process, "reload", None)
     if path and reload is not None:
         _watch_settings(path, read_settings, reload)
-    _settle_collector()
+    _tune_garbage_collector()
     stop_requested.wait()
     try:
-        return 0 if process.stop() else EXIT_UNFINISHED
+        return 0 if process.stop() else EXIT_DRAIN_INCOMPLETE
     finally:
-        # The last lines are still in the queue; they state how the process ended.
-        lines.write_now()
+        # Flushes queued log lines, which record the outcome of the stop.
+        log_queue.write_now()
 
 
-def _stop_at_broken_invariants() -> None:
-    """Let an InvariantError in any task end the process, not only the task."""
+def _exit_on_invariant_error() -> None:
+    """Make an InvariantError in any greenlet exit the process instead of the greenlet alone."""
     hub = gevent.get_hub()
     hub.SYSTEM_ERROR = (*hub.SYSTEM_ERROR, InvariantError)
 
 
 def _start(process: Process, settings: Any) -> int | None:
-    """Start a daemon; return the exit status when it cannot start."""
+    """Start a daemon; return the exit status if it fails to start, else None."""
     try:
         process.start()
     except DamagedLogError as error:
         print(f"{settings.data}: {error}", file=sys.stderr)
-        return EXIT_DAMAGED
+        return EXIT_DATA_CORRUPTED
     except OSError as error:
         print(f"cannot start: {error}", file=sys.stderr)
-        return EXIT_SETTINGS
+        return EXIT_START_FAILED
     return None
 
 
-def _settle_collector() -> None:
-    """Let the garbage collector leave alone what lives as long as the process."""
+def _tune_garbage_collector() -> None:
+    """Exempt objects created at startup from garbage collection, and collect less often."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(*COLLECTOR_THRESHOLDS)
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
-def _stop_signal() -> Event:
-    """Return an event that is set when the process is to stop."""
+def _handle_stop_signals() -> Event:
+    """Return an event that SIGTERM and SIGINT set."""
     stop_requested = Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, stop_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        gevent.signal_handler(signal_number, stop_requested.set)
     return stop_requested
 
 
 def _watch_settings(path: str, read: Callable[[], Any], reload: Callable[[Any], None]) -> None:
-    """Reload settings on SIGHUP, and when the file is seen to have changed."""
+    """Reload settings on SIGHUP and when the settings file changes."""
     reload_requested = Event()
     gevent.signal_handler(signal.SIGHUP, reload_requested.set)
     log = logger(process="settings")
 
     def watch() -> None:
-        seen = _stamp(path)
+        last_signature = _file_signature(path)
         while True:
-            signalled = reload_requested.wait(SETTINGS_CHECK_SECONDS)
+            signalled = reload_requested.wait(SETTINGS_POLL_SECONDS)
             reload_requested.clear()
-            stamp = _stamp(path)
-            if not signalled and stamp == seen:
+            signature = _file_signature(path)
+            if not signalled and signature == last_signature:
                 continue
-            seen = stamp
+            last_signature = signature
             try:
                 reload(read())
                 log.info("settings_reloaded", path=path, signal=bool(signalled))
             except SettingsError as error:
-                # The settings in force stay.
+                # Keeps the current settings.
                 log.error("settings_refused", path=path, problems=error.problems)
 
     gevent.spawn(watch)
 
 
-def _stamp(path: str) -> tuple[int, int, int]:
-    """Return what changes with a file's content; zeros while there is no file."""
+def _file_signature(path: str) -> tuple[int, int, int]:
+    """Return a file's modification time, size and inode number; zeros if it cannot be read."""
     try:
         status = os.stat(path)
     except OSError:
--- a/src/cranklane/cli/entry.py
+++ b/src/cranklane/cli/entry.py
@@ -1,7 +1,7 @@
-"""Entry point of ``cranklane``: daemons start without loading the command line.
+"""Entry point of ``cranklane``: runs a daemon or an operator command.
 
-Typer and what it brings cost a daemon more memory than its own parts, so the
-daemons read their few flags with the standard library.
+Daemons don't import Typer, which with its dependencies needs more memory than their own
+modules; they parse their flags with argparse.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 
 def _is_daemon(arguments: list[str]) -> bool:
-    """Return whether to run a daemon.
+    """Return whether the arguments start a daemon.
 
-    ``control`` followed by flags is the daemon; followed by a word, it is one of
-    the operators' commands on control.
+    ``control`` followed by a flag starts the daemon; followed by a word, it is an operator
+    command.
 
     >>> _is_daemon(["control", "--name", "c1"]), _is_daemon(["control", "list"])
     (True, False)
@@ -25,7 +25,7 @@
 
 
 def main() -> None:
-    """Run the command that the first argument names."""
+    """Run the daemon or operator command named by the first argument."""
     arguments = sys.argv[1:]
     if _is_daemon(arguments):
         from cranklane.cli.daemon import run
--- a/src/cranklane/cli/log_analysis.py
+++ b/src/cranklane/cli/log_analysis.py
@@ -1,7 +1,4 @@
-"""Commands that explain requests from the logs of processes.
-
-Relies on :mod:`~cranklane.cli.story` and :mod:`~cranklane.cli.losses`.
-"""
+"""Commands that analyze the JSON logs of cranklane processes."""
 
 from __future__ import annotations
 
@@ -10,29 +7,29 @@
 import typer
 
 from cranklane.cli.common import fail
-from cranklane.cli.losses import format_losses, losses_of
-from cranklane.cli.story import LogLine, read_lines, story_of
+from cranklane.cli.losses import format_losses, sum_losses
+from cranklane.cli.story import LogLine, read_lines, timeline_of
 
 
 def explain_request(request: str, logs: list[Path]) -> None:
-    """Explain what happened to a request, from the logs of the processes that it passed."""
-    story = story_of(request, _lines_of(logs))
-    if not story:
-        raise fail([f"no line is about the request {request!r}"])
-    for line in story:
+    """Print the log events of a request and the cause of its outcome."""
+    timeline = timeline_of(request, _read_logs(logs))
+    if not timeline:
+        raise fail([f"the logs have no event of request {request!r}"])
+    for line in timeline:
         typer.echo(line)
 
 
 def explain_losses(logs: list[Path]) -> None:
-    """Report where requests were lost and how much work was wasted, from sidecars' logs."""
-    losses = losses_of(_lines_of(logs))
+    """Report lost requests by cause, and slot time by request outcome, from sidecar logs."""
+    losses = sum_losses(_read_logs(logs))
     if not losses.routes:
-        raise fail(["no line sums up ended requests: are these the logs of sidecars?"])
+        raise fail(["expected logs of sidecars with requests_ended events, found no such event"])
     for line in format_losses(losses):
         typer.echo(line)
 
 
-def _lines_of(logs: list[Path]) -> list[LogLine]:
+def _read_logs(logs: list[Path]) -> list[LogLine]:
     lines: list[LogLine] = []
     for path in logs:
         try:
--- a/src/cranklane/cli/main.py
+++ b/src/cranklane/cli/main.py
@@ -1,4 +1,4 @@
-"""The operators' command line: puts the groups of commands together."""
+"""Command line of operators: registers all command groups."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from cranklane.common.secret_digest import secret_digest
 
 TOKEN_BYTES = 24
-"""Random bytes of a token. A choice: 192 bits cannot be guessed."""
+"""Random bytes in a token; 192 bits rule out guessing."""
 
 application = typer.Typer(no_args_is_help=True, help="Overload control for service call graphs.")
 application.add_typer(policy_commands, name="policy")
@@ -30,7 +30,7 @@
 
 @application.command("status")
 def status(control: Control, token: Token) -> None:
-    """Print the state of control and of the members it knows."""
+    """Print the revision of control and the state of each member."""
     answer = call(control, token, "GET", "/v1/status")
     typer.echo(f"{answer['name']}: revision {answer['revision']}")
     for member in answer["members"]:
@@ -42,7 +42,7 @@
 
 @application.command("token")
 def token_command() -> None:
-    """Print a new token, and its hash for a policy or the control settings."""
+    """Generate a token; print it with its hash for a policy or the control settings."""
     token = secrets.token_urlsafe(TOKEN_BYTES)
     typer.echo(f"token  {token}")
     typer.echo(f"hash   sha256:{secret_digest(token.encode())}")
--- a/src/cranklane/cli/quarantine.py
+++ b/src/cranklane/cli/quarantine.py
@@ -1,6 +1,6 @@
-"""Commands on quarantined requests: those that crash the workers that run them.
+"""Commands that list and change quarantined requests: those that crash their workers.
 
-Operators' words stay as they are: a request in quarantine is held, and a crash is an end.
+The command line and the sidecar's JSON say "held" for quarantined and "ends" for crashes.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 from cranklane.sidecar.quarantine.api import QUARANTINE_PATH
 
 quarantine_commands = typer.Typer(
-    no_args_is_help=True, help="Requests held since workers ended that ran them."
+    no_args_is_help=True, help="List and change quarantined requests, which crash workers."
 )
 
 Sidecar = Annotated[
-    str, typer.Option(envvar="CRANKLANE_SIDECAR", help="host:port of any sidecar's metrics")
+    str, typer.Option(envvar="CRANKLANE_SIDECAR", help="host:port of any sidecar's metrics server")
 ]
 
 
 @quarantine_commands.command("list")
 def list_quarantined(sidecar: Sidecar) -> None:
-    """List the held requests."""
-    for item in call(sidecar, "", "GET", QUARANTINE_PATH)["held"]:
-        left = item["seconds_left"]
-        until = f"for {left:.0f} s more" if left else "until a trial"
-        typer.echo(f"{item['identity']} {item['service']} {until}, {item['ends']} ends")
+    """List the quarantined requests."""
+    for entry in call(sidecar, "", "GET", QUARANTINE_PATH)["held"]:
+        seconds_left = entry["seconds_left"]
+        remaining = f"for {seconds_left:.0f} s more" if seconds_left else "until a trial"
+        typer.echo(f"{entry['identity']} {entry['service']} {remaining}, {entry['ends']} ends")
 
 
 @quarantine_commands.command()
 def lift(identity: str, sidecar: Sidecar, token: Token) -> None:
-    """Let a request run again, everywhere."""
+    """Release a request from quarantine on all sidecars."""
     media = {"identity": identity, "token": token}
     call(sidecar, "", "POST", f"{QUARANTINE_PATH}/lift", media)
     typer.echo(f"{identity} is lifted")
@@ -40,7 +40,7 @@
 
 @quarantine_commands.command("hold")
 def quarantine(identity: str, service: str, seconds: float, sidecar: Sidecar, token: Token) -> None:
-    """Refuse a request everywhere for some seconds; a log tells its identity."""
+    """Quarantine a request on all sidecars; its identity is in the sidecar logs."""
     media = {"identity": identity, "service": service, "seconds": seconds, "token": token}
     call(sidecar, "", "POST", f"{QUARANTINE_PATH}/hold", media)
     typer.echo(f"{identity} is held")
--- a/src/cranklane/cli/story.py
+++ b/src/cranklane/cli/story.py
@@ -1,6 +1,6 @@
-"""Explains what happened to one request, from the logs of the processes that it passed.
+"""Reconstructs the timeline of one request, and the cause of its outcome, from JSON logs.
 
-Relies on the names and fields of log events; a test plays requests and reads them back.
+Depends on the names and fields of the log events.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from cranklane.common.units import MILLISECONDS
 
 REQUEST_EVENTS = ("request", "attempt", "admission", "quarantine_refusal")
-"""Log events about one request."""
+"""Log events that concern a single request."""
 
 STATE_EVENTS = frozenset(
     {
@@ -34,53 +34,55 @@
         "lines_left_out",
     }
 )
-"""Log events about changes of a process's state."""
-
-AROUND_SECONDS = 3.0
-"""Seconds before and after a request within which changes of state are shown with it. A
-choice: failures are noticed within that time."""
-
-_CAUSES = {
-    "queue_full": "the worker's slots were taken and its queue longer than the request may wait",
-    "deadline_too_near": "it waited for a slot longer than it may",
-    "refused_early": "runs of this route fail because calls that they need are refused",
-    "draining": "the worker is leaving",
-    "no_members": "no worker of the service is known",
-    "no_configuration": "this process has no route table yet",
-    "unknown_route": "no route of the table in force fits its host and path",
+"""Log events that record a state change of a process."""
+
+STATE_WINDOW_SECONDS = 3.0
+"""Time before and after a request in which state changes are included; failures are detected
+within it."""
+
+_CAUSE_BY_REASON = {
+    "queue_full": "all slots of the worker were in use and its queue exceeded the wait limit",
+    "deadline_too_near": "its wait for a slot exceeded the permitted time",
+    "refused_early": "runs of this route fail because their downstream calls are refused",
+    "draining": "the worker was draining",
+    "no_members": "the process knew no worker of the service",
+    "no_configuration": "the process had no route table yet",
+    "unknown_route": "no route of the active route table matched its host and path",
     "worker_shed": "the worker refused it without running it",
-    "worker_unreachable": "the worker took no connection",
-    "worker_failed": "the worker's connection ended before its answer",
-    "answer_cut": "the worker's answer was cut short, or was no answer to this request",
-    "peer_unreachable": "the worker's sidecar took no connection",
+    "worker_unreachable": "the worker accepted no connection",
+    "worker_failed": "the connection to the worker ended before its response",
+    "answer_cut": "the worker's response was truncated or did not belong to this request",
+    "peer_unreachable": "the worker's sidecar accepted no connection",
     "peer_lost": "the connection to the worker's sidecar was lost",
-    "deadline_passed": "its time was over before an answer came",
-    "cancelled": "its caller left",
-    "worker_ended": "the worker's process ended while it ran this request and maybe others",
-    "worker_left": "the worker's process ended as it had told, while it ran this request",
-    "quarantined": "workers that ran this very request before have ended: it is held for a while",
-    "suspected": "a worker that ran this very request has ended: it runs at one worker only",
-    "run_alone": "the same request is being run alone, to see whether it ends its worker",
+    "deadline_passed": "its deadline passed before a response arrived",
+    "cancelled": "its caller disconnected",
+    "worker_ended": "the worker process crashed while it ran this request and possibly others",
+    "worker_left": "the worker process exited after announcing its stop, while it ran this request",
+    "quarantined": "workers that ran this very request before have ended: it is quarantined",
+    "suspected": "a worker crashed while running it: it may run only isolated, at one worker",
+    "run_alone": "the same request was running isolated, to check whether it crashes the worker",
 }
 
 
 @dataclass(frozen=True)
 class LogLine:
-    """One line of a log.
+    """One event of a JSON log.
 
-    :ivar at: seconds since 1970 by the clock of its process.
+    :ivar timestamp: Unix time in seconds, by the clock of the logging process.
+    :ivar node: name of the logging process.
+    :ivar fields: all other fields of the line.
     """
 
-    at: float
+    timestamp: float
     node: str
     event: str
     fields: dict[str, Any]
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Return the lines of a log that are JSON objects with a time and an event.
+    """Yield the log lines that are JSON objects with a timestamp and an event.
 
-    Text before the object on a line, as log collectors add it, is skipped.
+    Skips a prefix before the object, as added by log collectors.
     """
     for text in texts:
         start = text.find("{")
@@ -88,80 +90,91 @@
             continue
         try:
             fields = json.loads(text[start:])
-            at = datetime.fromisoformat(fields.pop("timestamp")).timestamp()
-            yield LogLine(at, str(fields.pop("node", "")), str(fields.pop("event")), fields)
+            timestamp = datetime.fromisoformat(fields.pop("timestamp")).timestamp()
+            yield LogLine(timestamp, str(fields.pop("node", "")), str(fields.pop("event")), fields)
         except (ValueError, KeyError, TypeError, AttributeError):
-            # Not a line of a process of ours: logs are read as they were collected.
+            # Collected logs may contain lines of other software.
             continue
 
 
-def story_of(request: str, lines: Iterable[LogLine]) -> list[str]:
-    """Return the lines on a request in order, the cause of its end last; empty when unknown.
+def timeline_of(request: str, lines: Iterable[LogLine]) -> list[str]:
+    """Return a request's events in order of time, then the cause of its outcome.
 
-    :param request: the id that its caller gave it.
+    Includes state changes of the processes involved. Empty without an event of the request.
+
+    :param request: request id set by the caller.
     """
-    known = sorted(lines, key=lambda line: line.at)
-    own = [
+    sorted_lines = sorted(lines, key=lambda line: line.timestamp)
+    request_lines = [
         line
-        for line in known
+        for line in sorted_lines
         if line.event in REQUEST_EVENTS and line.fields.get("request") == request
     ]
-    if not own:
+    if not request_lines:
         return []
-    nodes = {line.node for line in own}
-    nodes |= {str(line.fields["destination"]) for line in own if "destination" in line.fields}
-    first, last = own[0].at - AROUND_SECONDS, own[-1].at + AROUND_SECONDS
-    around = [
+    nodes = {line.node for line in request_lines}
+    nodes |= {
+        str(line.fields["destination"]) for line in request_lines if "destination" in line.fields
+    }
+    first, last = (
+        request_lines[0].timestamp - STATE_WINDOW_SECONDS,
+        request_lines[-1].timestamp + STATE_WINDOW_SECONDS,
+    )
+    state_lines = [
         line
-        for line in known
-        if line.event in STATE_EVENTS and line.node in nodes and first <= line.at <= last
+        for line in sorted_lines
+        if line.event in STATE_EVENTS and line.node in nodes and first <= line.timestamp <= last
     ]
-    shown = sorted([*own, *around], key=lambda line: line.at)
-    return [_format_line(line) for line in shown] + [f"cause: {cause_of(own)}"]
+    shown = sorted([*request_lines, *state_lines], key=lambda line: line.timestamp)
+    return [_format_line(line) for line in shown] + [f"cause: {cause_of(request_lines)}"]
 
 
 def _format_line(line: LogLine) -> str:
-    time = datetime.fromtimestamp(line.at).strftime("%H:%M:%S.%f")[:-3]
-    left_out = ("request", "level", "process")
+    time = datetime.fromtimestamp(line.timestamp).strftime("%H:%M:%S.%f")[:-3]
+    hidden_fields = ("request", "level", "process")
     fields = " ".join(
-        f"{name}={value}" for name, value in line.fields.items() if name not in left_out
+        f"{name}={value}" for name, value in line.fields.items() if name not in hidden_fields
     )
     return f"{time} {line.node} {line.event} {fields}"
 
 
 def cause_of(lines: list[LogLine]) -> str:
-    """Return a sentence on why a request ended as it did.
+    """Return the cause of a request's outcome, for operators.
 
-    :param lines: its own lines, in order.
+    :param lines: events of the request, in order of time.
     """
     ends = [line for line in lines if line.event == "request"]
     if not ends:
-        return "no line states its end: its caller may still wait, or lines were left out"
+        return "no log line records its end: it may still be running, or lines were left out"
     end = ends[-1].fields
     reason = str(end.get("reason", "none"))
     outcome = str(end.get("outcome", ""))
     if outcome == "answered":
-        return _cause_of_answer(end)
+        return _cause_of_response(end)
     attempts = [line for line in lines if line.event == "attempt"]
-    where = attempts[-1].fields.get("destination", "") if attempts else ""
-    text = _CAUSES.get(reason, reason)
-    at = f" (at {where})" if where else ""
+    destination = attempts[-1].fields.get("destination", "") if attempts else ""
+    text = _CAUSE_BY_REASON.get(reason, reason)
+    at = f" (at {destination})" if destination else ""
     run = "it was not run" if outcome == "not_run" else "it may have run"
     return f"{text}{at}; {run}"
 
 
-def _cause_of_answer(end: dict[str, Any]) -> str:
+def _cause_of_response(end: dict[str, Any]) -> str:
     status = int(end.get("status", 0))
     if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-        return f"the worker ran it and answered {status}"
+        return f"the worker ran it and responded with status {status}"
     seconds, objective = float(end.get("seconds", 0)), float(end.get("objective_seconds", 0))
     if not seconds > objective > 0:
         return "none: it was answered in time"
-    waited, ran = int(end.get("waited_ms", 0)), int(end.get("ran_ms", 0))
-    other = max(0, int(seconds * MILLISECONDS) - waited - ran)
-    times = {"its wait for a slot": waited, "the worker's own time": ran, "the way there": other}
+    waited_ms, run_time_ms = int(end.get("waited_ms", 0)), int(end.get("ran_ms", 0))
+    other_ms = max(0, int(seconds * MILLISECONDS) - waited_ms - run_time_ms)
+    times = {
+        "the wait for a slot": waited_ms,
+        "the worker's run time": run_time_ms,
+        "time elsewhere": other_ms,
+    }
     longest = max(times, key=lambda name: times[name])
     return (
-        f"late, most of all by {longest}: {waited} ms waited, {ran} ms at the worker, "
-        f"{other} ms otherwise, of {int(objective * MILLISECONDS)} ms it should take"
+        f"late, mainly due to {longest}: {waited_ms} ms waited, {run_time_ms} ms at the worker, "
+        f"{other_ms} ms elsewhere, with an objective of {int(objective * MILLISECONDS)} ms"
     )
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Where requests were lost and which work was done in vain, by logs and metrics."""
+"""Lost requests and wasted slot time are attributed to the right service and outcome."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import gevent
 from typer.testing import CliRunner
 
-from cranklane.cli.losses import format_losses, losses_of
+from cranklane.cli.losses import format_losses, sum_losses
 from cranklane.cli.main import application
 from cranklane.cli.story import read_lines
 from cranklane_lab.simulation.mesh import Mesh, route_table
@@ -25,11 +25,11 @@
     return 0.0005
 
 
-def lines_of_one_tree(deep_slots, fails):
-    """Return what is logged and counted of one request whose run makes one call.
+def simulate_call_tree(deep_slots, fails):
+    """Return log lines and metrics of a request whose run makes one downstream call.
 
-    :param deep_slots: of the only worker that can serve the call.
-    :param fails: whether the run answers with an error.
+    :param deep_slots: slots of the only worker that serves the call.
+    :param fails: whether the run responds with an error.
     """
 
     def scenario(world):
@@ -56,18 +56,18 @@
     return list(read_lines(lines)), metrics
 
 
-def test_work_below_a_served_request_counts_as_useful():
-    lines, metrics = lines_of_one_tree(deep_slots=4, fails=False)
-    losses = losses_of(lines)
+def test_slot_time_below_a_served_request_counts_as_in_time():
+    lines, metrics = simulate_call_tree(deep_slots=4, fails=False)
+    losses = sum_losses(lines)
     assert losses.by_route == {("view", "in_time"): 1}
     assert losses.work["top", "in_time"] >= RUN_SECONDS * 1000
     assert 20 <= losses.work["deep", "in_time"] < 40
     assert 'cranklane_work_milliseconds_total{end="in_time",service="deep"}' in metrics
 
 
-def test_a_request_lost_for_want_of_room_names_the_service_that_had_none():
-    lines, _ = lines_of_one_tree(deep_slots=0, fails=True)
-    losses = losses_of(lines)
+def test_cause_names_the_downstream_service_without_free_slots():
+    lines, _ = simulate_call_tree(deep_slots=0, fails=True)
+    losses = sum_losses(lines)
     ((key, count),) = losses.by_cause.items()
     assert key[:3] == ("view", "failed", "deep")
     assert key[3] in ("queue_full", "deadline_too_near")
@@ -76,9 +76,9 @@
     assert losses.work["top", "in_time"] == 0
 
 
-def test_a_run_that_fails_by_itself_names_its_own_service():
-    lines, _ = lines_of_one_tree(deep_slots=4, fails=True)
-    assert list(losses_of(lines).by_cause) == [("view", "failed", "top", "run_failed")]
+def test_cause_of_a_failed_run_names_its_service():
+    lines, _ = simulate_call_tree(deep_slots=4, fails=True)
+    assert list(sum_losses(lines).by_cause) == [("view", "failed", "top", "run_failed")]
 
 
 def summary(second, ends, work):
@@ -93,24 +93,24 @@
     )
 
 
-def test_summaries_of_several_sidecars_are_added_up():
+def test_report_adds_up_summaries_of_several_sidecars():
     lines = [
         summary(1, [["r", "in_time", "", "", 3]], [["s", "in_time", 750]]),
         summary(1, [["r", "refused", "s", "queue_full", 1]], []),
         summary(2, [["r", "failed", "t", "run_failed", 2]], [["s", "failed", 250]]),
     ]
-    report = "\n".join(format_losses(losses_of(read_lines(lines))))
+    report = "\n".join(format_losses(sum_losses(read_lines(lines))))
     assert "1.0 s  in_time 75.0%  late 0.0%  refused 0.0%  failed 25.0%" in report
     assert "3/4" in report and "0/2" in report
     assert "2  r                    failed   run_failed at t" in report
 
 
-def test_the_command_refuses_logs_without_summaries(tmp_path):
+def test_explain_losses_fails_on_logs_without_summaries(tmp_path):
     path = tmp_path / "empty.log"
     path.write_text("")
-    shown = CliRunner().invoke(application, ["explain-losses", str(path)])
-    assert shown.exit_code != 0
-    assert "no line sums up" in shown.output
+    result = CliRunner().invoke(application, ["explain-losses", str(path)])
+    assert result.exit_code != 0
+    assert "requests_ended events, found no such event" in result.output
     path.write_text(summary(1, [["r", "late", "", "", 1]], []))
-    shown = CliRunner().invoke(application, ["explain-losses", str(path)])
-    assert shown.exit_code == 0, shown.output
+    result = CliRunner().invoke(application, ["explain-losses", str(path)])
+    assert result.exit_code == 0, result.output
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -1,4 +1,4 @@
-"""From a failed request's id to its cause, by the logs alone."""
+"""Logs suffice to explain a failed request, and writing them neither floods nor blocks."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @contextmanager
 def captured_lines():
-    """Take every line that simulated processes write."""
+    """Collect the log lines of all simulated processes."""
     lines = []
 
     write_lines_to(lines.append)
@@ -34,12 +34,12 @@
         play(script, **options)
     path = tmp_path / "processes.log"
     path.write_text("not a line of ours\n" + "\n".join(lines))
-    shown = CliRunner().invoke(application, ["explain-request", request, str(path)])
-    assert shown.exit_code == 0, shown.output
-    return shown.output
+    result = CliRunner().invoke(application, ["explain-request", request, str(path)])
+    assert result.exit_code == 0, result.output
+    return result.output
 
 
-def test_a_refused_request_leads_to_the_queue_that_was_full(tmp_path):
+def test_cause_of_a_refused_request_is_the_full_queue(tmp_path):
     def script(mesh):
         each_worker(mesh, seconds=3.0)
         for _ in range(8):
@@ -49,41 +49,41 @@
             machine.sidecar.slots.slot_seconds = 3.0
         assert mesh.request(mesh.machines[2], "/read/x", name="refused-one").status == 503
 
-    told = explained(script, tmp_path, "refused-one")
-    assert "admission reason=queue_full running=4" in told
-    assert "cause: the worker's slots were taken" in told
-    assert "it was not run" in told
+    output = explained(script, tmp_path, "refused-one")
+    assert "admission reason=queue_full running=4" in output
+    assert "cause: all slots of the worker were in use" in output
+    assert "it was not run" in output
 
 
-def test_a_request_of_unknown_outcome_leads_to_the_worker_that_lost_its_answer(tmp_path):
+def test_cause_of_an_unknown_outcome_is_the_lost_connection_to_the_worker(tmp_path):
     def script(mesh):
         each_worker(mesh, lose_answers=9)
         answer = mesh.request(mesh.machines[2], "/sign/x", "POST", b"b", name="unknown-one")
         assert answer.status == 502
 
-    told = explained(script, tmp_path, "unknown-one")
-    assert "arrived=True" in told
-    assert "cause: the worker's connection ended before its answer (at sidecar-" in told
-    assert "it may have run" in told
+    output = explained(script, tmp_path, "unknown-one")
+    assert "arrived=True" in output
+    assert "cause: the connection to the worker ended before its response (at sidecar-" in output
+    assert "it may have run" in output
 
 
-def test_a_late_request_leads_to_what_took_its_time(tmp_path):
+def test_cause_of_a_late_response_is_the_longest_delay(tmp_path):
     def script(mesh):
         each_worker(mesh, seconds=1.3)
         assert mesh.request(mesh.machines[2], "/read/x", name="late-one").status == 200
 
-    told = explained(script, tmp_path, "late-one")
-    assert "cause: late, most of all by the worker's own time: 0 ms waited" in told
+    output = explained(script, tmp_path, "late-one")
+    assert "cause: late, mainly due to the worker's run time: 0 ms waited" in output
 
 
-def test_an_unknown_id_is_an_error(tmp_path):
+def test_explain_request_fails_on_an_unknown_id(tmp_path):
     path = tmp_path / "empty.log"
     path.write_text("")
-    shown = CliRunner().invoke(application, ["explain-request", "nobody", str(path)])
-    assert shown.exit_code != 0
+    result = CliRunner().invoke(application, ["explain-request", "nobody", str(path)])
+    assert result.exit_code != 0
 
 
-def test_lines_beyond_a_rate_are_left_out_and_counted():
+def test_log_lines_above_the_rate_limit_are_dropped_and_counted():
     now = [0.0]
     limit = RateLimit(lambda: now[0], 5)
     assert sum(limit.allows() for _ in range(20)) == 5
@@ -92,7 +92,7 @@
     assert sum(limit.allows() for _ in range(20)) == 5
 
 
-def test_a_reader_that_takes_nothing_holds_nobody_up():
+def test_a_stalled_log_reader_does_not_block_the_writer():
     reading, writing = os.pipe()
     os.set_blocking(writing, False)
     queue = LineQueue(writing)
