--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Two commands set up a fresh machine by themselves: make demo, make test.
+# Each target except lock first installs the dependencies into $(VENV) if needed.
 PYTHON ?= python3.11
 VENV ?= .venv
 BIN = $(VENV)/bin
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter holds names only, and the product knows none of them."""
+"""The platform adapter only maps names; the product contains no platform names."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     r"X-Attempt-Id|X-Deadline-Ms|X-Expected-Instance|X-Instance-Id|X-Caller-Service"
     r"|X-Response-Seal|X-Not-Executed|X-Server-Load|heartbeat-endpoint|/-/|CRANKLANE_BOOT"
 )
-DECIDING = (ast.While, ast.For, ast.Try, ast.AsyncFunctionDef, ast.Global, ast.Nonlocal)
-MOST_LINES = 120
+FORBIDDEN_STATEMENTS = (ast.While, ast.For, ast.Try, ast.AsyncFunctionDef, ast.Global, ast.Nonlocal)
+MAX_LINES = 120
 
 FIELDS = {
     "node-name": "sidecar-a-1",
@@ -47,9 +47,9 @@
 }
 
 
-def rendered(name, fields=FIELDS):
+def render_template(name, fields=FIELDS):
     text = (ROOT / "deploy" / name).read_text()
-    # A section stands where its field is given, with the field's value in its middle.
+    # Renders a section only if its field is set, and inserts the value.
     text = re.sub(
         r"\{\{#(bounds[^}]+)\}\}(.*?)\{\{/\1\}\}",
         lambda match: match[2].replace("{{.}}", fields[match[1]]) if match[1] in fields else "",
@@ -66,50 +66,50 @@
     return re.sub(r"\{\{([^}]+)\}\}", lambda match: fields[match[1]], text)
 
 
-def settings(kind, name, tmp_path, fields=FIELDS):
+def load_settings(kind, name, tmp_path, fields=FIELDS):
     path = tmp_path / "settings.toml"
-    path.write_text(rendered(name, fields))
+    path.write_text(render_template(name, fields))
     return load(kind, str(path))
 
 
-def test_nothing_of_the_product_knows_the_platform_s_names():
-    found = [
+def test_product_contains_no_platform_names():
+    matches = [
         f"{path.relative_to(ROOT)}: {match[0]}"
         for path in sorted((ROOT / "src").rglob("*.py"))
         if (match := PLATFORM_NAMES.search(path.read_text()))
     ]
-    assert found == []
+    assert matches == []
 
 
-def test_the_adapter_is_small_and_neither_waits_nor_keeps_nor_decides():
+def test_adapter_is_small_and_has_no_loops_waits_or_classes():
     lines = 0
     for path in sorted((ROOT / "platform").rglob("*.py")):
         text = path.read_text()
         lines += len(text.splitlines())
         for node in ast.walk(ast.parse(text)):
-            assert not isinstance(node, DECIDING), f"{path}: {type(node).__name__}"
+            assert not isinstance(node, FORBIDDEN_STATEMENTS), f"{path}: {type(node).__name__}"
             assert not isinstance(node, ast.ClassDef), f"{path}: {node.name} may keep state"
         assert "sleep" not in text
-    assert lines <= MOST_LINES
+    assert lines <= MAX_LINES
 
 
-def test_the_templates_give_settings_that_hold(tmp_path):
-    sidecar = settings(SidecarSettings, "sidecar.toml.template", tmp_path)
-    controller = settings(ControllerSettings, "controller.toml.template", tmp_path)
+def test_templates_render_valid_settings(tmp_path):
+    sidecar = load_settings(SidecarSettings, "sidecar.toml.template", tmp_path)
+    controller = load_settings(ControllerSettings, "controller.toml.template", tmp_path)
     assert sidecar.seeds == ["10.0.0.1:8306", "10.0.0.2:8306"]
     assert (sidecar.heartbeat_seconds, sidecar.listen) == (1.5, "10.0.0.1:7620")
     assert (controller.first_start, controller.tolerated_losses) == (True, 2)
     assert (sidecar.revocation_seconds, controller.quota_slack) == (0.0, 0.0)
 
 
-def test_the_templates_take_the_bounds_of_tenants_where_there_are_any(tmp_path):
+def test_templates_use_tenant_bounds_if_present(tmp_path):
     fields = FIELDS | TENANT_FIELDS
-    sidecar = settings(SidecarSettings, "sidecar.toml.template", tmp_path, fields)
-    controller = settings(ControllerSettings, "controller.toml.template", tmp_path, fields)
+    sidecar = load_settings(SidecarSettings, "sidecar.toml.template", tmp_path, fields)
+    controller = load_settings(ControllerSettings, "controller.toml.template", tmp_path, fields)
     assert (sidecar.revocation_seconds, controller.quota_slack) == (5.0, 20)
 
 
-def test_every_process_of_the_deploy_file_has_its_template():
+def test_each_role_of_the_deploy_file_has_a_template():
     deploy = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     for role in deploy["roles"].values():
         assert (ROOT / role["template"]).exists()
