--- a/src/cranklane/cli/client.py
+++ b/src/cranklane/cli/client.py
@@ -22,7 +22,7 @@
 """Rounds of calls to all control processes before giving up; with the delay between rounds, they
 last longer than an election."""
 
-ROUND_DELAY_SECONDS = 0.6
+ROUND_SECONDS = 0.6
 """Delay between two rounds."""
 
 
@@ -38,7 +38,7 @@
     lines: list[str] = field(default_factory=list)
 
     @property
-    def is_retriable(self) -> bool:
+    def another_may_answer(self) -> bool:
         """Whether another control process, or a later attempt, may succeed."""
         return self.status in (0, HTTPStatus.SERVICE_UNAVAILABLE)
 
@@ -62,13 +62,13 @@
         problem = OperatorProblem(0, ["expected at least one control address, found none"])
         for round_number in range(MAX_ROUNDS):
             if round_number:
-                gevent.sleep(ROUND_DELAY_SECONDS)
+                gevent.sleep(ROUND_SECONDS)
             for control in self._controls:
                 result = self._call_one(control, method, path, media)
                 if not isinstance(result, Err):
                     return result
                 problem = result.err_value
-                if not problem.is_retriable:
+                if not problem.another_may_answer:
                     return result
         return Err(problem)
 
