--- a/src/cranklane/cli/log_analysis.py
+++ b/src/cranklane/cli/log_analysis.py
@@ -8,7 +8,7 @@
 
 from cranklane.cli.common import fail
 from cranklane.cli.losses import format_losses, sum_losses
-from cranklane.cli.story import LogLine, read_lines, timeline_of
+from cranklane.cli.request_timeline import LogLine, read_lines, timeline_of
 
 
 def explain_request(request: str, logs: list[Path]) -> None:
--- a/src/cranklane/cli/losses.py
+++ b/src/cranklane/cli/losses.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from cranklane.cli.story import LogLine
+from cranklane.cli.request_timeline import LogLine
 from cranklane.common.units import MILLISECONDS
 
 SUMMARY_EVENT = "requests_ended"
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -9,7 +9,7 @@
 
 from cranklane.cli.losses import format_losses, sum_losses
 from cranklane.cli.main import application
-from cranklane.cli.story import read_lines
+from cranklane.cli.request_timeline import read_lines
 from cranklane_lab.simulation.mesh import Mesh, route_table
 from cranklane_lab.simulation.world import simulate
 from test_story import captured_lines
