--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -12,7 +12,7 @@
 from cranklane.cli.request_timeline import read_lines
 from cranklane_lab.simulation.mesh import Mesh, route_table
 from cranklane_lab.simulation.world import simulate
-from test_story import captured_lines
+from test_request_timeline import captured_lines
 
 ROUTES = {
     "view": {"prefix": "/view/", "service": "top"},
--- a/tests/test_quarantine_operators.py
+++ b/tests/test_quarantine_operators.py
@@ -16,7 +16,7 @@
 from cranklane_lab.standins.raw_http import exchange
 from mesh_support import play
 from test_crashing_requests import CRASH, FLEET
-from test_story import explained
+from test_request_timeline import explained
 
 TOKEN = "an-operator"
 DIGEST = secret_digest(TOKEN.encode())
