--- a/tests/test_quarantine_operators.py
+++ b/tests/test_quarantine_operators.py
@@ -16,7 +16,7 @@
 from cranklane_lab.standins.raw_http import exchange
 from mesh_support import play
 from test_crashing_requests import CRASH, FLEET
-from test_request_timeline import explained
+from test_request_timeline import explain_request
 
 TOKEN = "an-operator"
 DIGEST = secret_digest(TOKEN.encode())
@@ -107,7 +107,7 @@
         gevent.sleep(0.1)
         assert mesh.request(mesh.machines[6], CRASH, name="held-one").status == 503
 
-    told = explained(script, tmp_path, "held-one", **FLEET)
+    told = explain_request(script, tmp_path, "held-one", **FLEET)
     assert "quarantine_refusal service=s identity=" in told
     assert "cause: workers that ran this very request before have ended" in told
     assert "it was not run" in told
--- a/tests/test_request_timeline.py
+++ b/tests/test_request_timeline.py
@@ -29,7 +29,7 @@
         quiet()
 
 
-def explained(script, tmp_path, request, **options):
+def explain_request(script, tmp_path, request, **options):
     with captured_lines() as lines:
         play(script, **options)
     path = tmp_path / "processes.log"
@@ -49,7 +49,7 @@
             machine.sidecar.slots.slot_seconds = 3.0
         assert mesh.request(mesh.machines[2], "/read/x", name="refused-one").status == 503
 
-    output = explained(script, tmp_path, "refused-one")
+    output = explain_request(script, tmp_path, "refused-one")
     assert "admission reason=queue_full running=4" in output
     assert "cause: all slots of the worker were in use" in output
     assert "it was not run" in output
@@ -61,7 +61,7 @@
         answer = mesh.request(mesh.machines[2], "/sign/x", "POST", b"b", name="unknown-one")
         assert answer.status == 502
 
-    output = explained(script, tmp_path, "unknown-one")
+    output = explain_request(script, tmp_path, "unknown-one")
     assert "arrived=True" in output
     assert "cause: the connection to the worker ended before its response (at sidecar-" in output
     assert "it may have run" in output
@@ -72,7 +72,7 @@
         each_worker(mesh, seconds=1.3)
         assert mesh.request(mesh.machines[2], "/read/x", name="late-one").status == 200
 
-    output = explained(script, tmp_path, "late-one")
+    output = explain_request(script, tmp_path, "late-one")
     assert "cause: late, mainly due to the worker's run time: 0 ms waited" in output
 
 
