--- a/src/cranklane/cli/losses.py
+++ b/src/cranklane/cli/losses.py
@@ -16,7 +16,7 @@
 """Log event that summarizes a sidecar's ended requests."""
 
 ENDS = ("in_time", "late", "refused", "failed", "left")
-"""Outcomes of requests for their clients, as named in the log event."""
+"""Request outcomes from the client's view, as named in the log event."""
 
 _SERVED_ENDS = ("in_time", "late")
 _ROUTE_WIDTH = 14
--- a/src/cranklane/cli/request_timeline.py
+++ b/src/cranklane/cli/request_timeline.py
@@ -41,11 +41,11 @@
 within it."""
 
 _CAUSE_BY_REASON = {
-    "queue_full": "all slots of the worker were in use and its queue exceeded the wait limit",
+    "queue_full": "all slots of the worker were in use and its queue too long for the request",
     "deadline_too_near": "its wait for a slot exceeded the permitted time",
     "refused_early": "runs of this route fail because their downstream calls are refused",
     "draining": "the worker was draining",
-    "no_members": "the process knew no worker of the service",
+    "no_members": "no worker of the service was known",
     "no_configuration": "the process had no route table yet",
     "unknown_route": "no route of the active route table matched its host and path",
     "worker_shed": "the worker refused it without running it",
