--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -1,4 +1,4 @@
-"""Whose request one is, and whether its tenant may send it: the table of ``authentication``."""
+"""Authentication of requests by API key, and refusal of tenants over their rate."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class Ingress:
-    """The parts around an authentication, on a clock that stands still."""
+    """An authentication with its lease and quota, on a stopped clock."""
 
     def __init__(self, confirmed=True):
         self.refusals = []
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "caller"),
+    ("arguments", "caller"),
     [
         ({"table": replace(TABLE, tenants=None)}, Caller("", 1)),
         ({"route": replace(ROUTE, public=True)}, Caller("", 3)),
@@ -55,14 +55,14 @@
         ({"key": b"batch-key"}, Caller("batch", 3, limited=True)),
     ],
 )
-def test_who_may_send_a_request(asked, caller):
+def test_admitted_callers(arguments, caller):
     ingress = Ingress()
-    assert ingress.identify(**asked).ok_value == caller
+    assert ingress.identify(**arguments).ok_value == caller
     assert ingress.refusals == []
 
 
 @pytest.mark.parametrize(
-    ("confirmed", "asked", "reason", "retry_after_ms"),
+    ("confirmed", "arguments", "reason", "retry_after_ms"),
     [
         (True, {"request": "id"}, Reason.UNAUTHENTICATED, 0),
         (True, {"request": "id.1"}, Reason.CALL_UNTIED, 500),
@@ -71,21 +71,21 @@
         (False, {"key": b"unknown"}, Reason.TABLE_STALE, 500),
     ],
 )
-def test_who_may_not(confirmed, asked, reason, retry_after_ms):
+def test_refused_callers(confirmed, arguments, reason, retry_after_ms):
     ingress = Ingress(confirmed)
-    refused = ingress.identify(**asked)
+    refused = ingress.identify(**arguments)
     assert isinstance(refused, Err)
     assert refused.err_value.reason is reason
     assert refused.err_value.retry_after_ms == retry_after_ms
     assert [refusal.reason for refusal in ingress.refusals] == [reason]
 
 
-@pytest.mark.parametrize("asked", [{"table": replace(TABLE, tenants=None)}, {"run": RUN}])
-def test_a_request_without_a_key_needs_no_certain_table(asked):
-    assert isinstance(Ingress(confirmed=False).identify(**asked).ok_value, Caller)
+@pytest.mark.parametrize("arguments", [{"table": replace(TABLE, tenants=None)}, {"run": RUN}])
+def test_a_request_without_a_key_is_admitted_without_a_table_lease(arguments):
+    assert isinstance(Ingress(confirmed=False).identify(**arguments).ok_value, Caller)
 
 
-def test_a_tenant_over_its_rate_is_refused_and_what_has_not_run_does_not_count():
+def test_a_tenant_over_its_rate_is_refused_and_requests_not_run_are_refunded():
     ingress = Ingress()
     results = [ingress.identify(key=b"batch-key") for _ in range(20)]
     refused = [result.err_value for result in results if isinstance(result, Err)]
@@ -93,8 +93,8 @@
     assert {reply.reason for reply in refused} == {Reason.QUOTA_EXCEEDED}
     assert {refusal.tenant for refusal in ingress.refusals} == {"batch"}
     admitted = next(result.ok_value for result in results if not isinstance(result, Err))
-    ingress.authentication.not_run(admitted)
-    ingress.authentication.not_run(Caller("shop", 1))
+    ingress.authentication.refund(admitted)
+    ingress.authentication.refund(Caller("shop", 1))
     (usage,) = ingress.quota.take_usage()
     assert (usage.tenant, usage.offered, usage.admitted) == ("batch", 20, 20 - len(refused))
     assert usage.returned == 1
