--- a/src/cranklane/sidecar/__init__.py
+++ b/src/cranklane/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar: takes its machine's requests and runs those for its own worker."""
+"""The sidecar: receives its machine's requests and runs those for the local worker."""
--- a/src/cranklane/sidecar/admission/retry_after.py
+++ b/src/cranklane/sidecar/admission/retry_after.py
@@ -6,13 +6,13 @@
 ==============================  ====================================================
 reason for the refusal          delay
 ==============================  ====================================================
-worker queue full               expected queue wait of a highest-priority request,
-                                :data:`MIN_QUEUE_MS` to :data:`MAX_QUEUE_MS`
 outcome limiter                 :data:`REFUSED_EARLY_MS`
+quarantine                      remaining time of the quarantine
+any other at the worker's gate  expected queue wait of a highest-priority request,
+                                :data:`MIN_QUEUE_MS` to :data:`MAX_QUEUE_MS`
 tenant over its rate            time to work off the excess requests,
                                 :data:`MIN_QUOTA_MS` to :data:`MAX_QUOTA_MS`
-routes or calling run unknown   :data:`UNCERTAIN_MS`
-quarantine                      remaining time of the quarantine
+stale table or unknown run      :data:`UNCERTAIN_MS`
 any other                       :data:`DEFAULT_MS`
 ==============================  ====================================================
 """
@@ -45,7 +45,7 @@
 
 UNCERTAIN_MS = 500
 """Delay if the sidecar's route table may be stale, or if the run that makes the call is unknown.
-The sidecar queries control about twice in this time."""
+Equals the heartbeat interval to control, whose response confirms the table."""
 
 ADMITTED_ALL_PERMILLE = 1000
 """Admitted thousandths of a tenant's requests while the tenant is below its rate."""
--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -24,7 +24,7 @@
 )
 from cranklane.runtime.interface import Address, Runtime, parse_address
 from cranklane.sidecar.admission.tenant_quota import TenantQuota
-from cranklane.sidecar.own_member import OwnMember
+from cranklane.sidecar.local_member import LocalMember
 from cranklane.sidecar.quarantine.gossip import QuarantineGossip
 from cranklane.sidecar.quarantine.sidecar_directory import SidecarDirectory
 from cranklane.sidecar.routing.destinations import Destinations
@@ -34,7 +34,7 @@
 from cranklane.sidecar.worker.condition import WorkerCondition
 
 TIMING = FollowTiming(heartbeat=0.5, silent=1.6, max_backoff=0.8, raises_incarnation=True)
-"""Times of the subscription in seconds. Control answers each heartbeat, so a silence of three
+"""Times of the subscription in seconds. Control responds to each heartbeat, so a silence of three
 heartbeat intervals means that the connection is lost."""
 
 USAGE_REPORT_DELAY_SECONDS = 0.15
@@ -45,7 +45,7 @@
 
 
 class ControlledState(NamedTuple):
-    """Components of a sidecar that are updated by control."""
+    """Components of a sidecar that control's updates change."""
 
     table: AdoptedTable
     lease: TableLease
@@ -58,9 +58,9 @@
 class ControlLink:
     """The link of one sidecar to control.
 
-    :param own: this sidecar's reported state.
+    :param local_member: builds the records that describe this sidecar.
     :param condition: condition of the worker, updated before each heartbeat.
-    :param state: components that are updated by control.
+    :param state: components that control's updates change.
     :ivar subscription: connection to one controller at a time.
     """
 
@@ -68,13 +68,13 @@
         self,
         runtime: Runtime,
         settings: SidecarSettings,
-        own: OwnMember,
+        local_member: LocalMember,
         condition: WorkerCondition,
         state: ControlledState,
         log: Any,
     ) -> None:
         self._runtime = runtime
-        self._own = own
+        self._local_member = local_member
         self._condition = condition
         self._state = state
         self._lease_log = TableLeaseLog(state.lease, state.table, log)
@@ -82,7 +82,7 @@
         self.subscription = Subscription(
             runtime,
             _controllers(settings),
-            own.subscription(),
+            local_member.subscription(),
             state.table,
             None,
             Follower(self._heartbeat, self._apply_members, on_answer=self._apply_answer),
@@ -92,7 +92,7 @@
 
     @property
     def connected(self) -> bool:
-        """Whether a controller answers."""
+        """Whether a controller responds."""
         return self.subscription.connected
 
     def reload(self, settings: SidecarSettings) -> None:
@@ -119,10 +119,10 @@
         self._condition.renew()
         self._state.destinations.drop_expired()
         self._lease_log.check()
-        return self._own.heartbeat()
+        return self._local_member.heartbeat()
 
     def _apply_answer(self, message: Message) -> None:
-        """Apply the answer to a heartbeat, or the fractions of tenants' requests to admit."""
+        """Apply the response to a heartbeat, or the fractions of tenants' requests to admit."""
         match message:
             case HeartbeatAnswer():
                 self._apply_heartbeat_answer(message)
--- a/src/cranklane/sidecar/ingress/__init__.py
+++ b/src/cranklane/sidecar/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Receives callers' requests and returns their answers."""
+"""Receives callers' requests and returns their responses."""
--- a/src/cranklane/sidecar/ingress/answer_writer.py
+++ b/src/cranklane/sidecar/ingress/answer_writer.py
@@ -1,6 +1,6 @@
-"""Writes answers to callers: streamed answers of workers, and errors made by the sidecar.
+"""Writes responses to callers: responses of workers, and errors of the sidecar.
 
-A truncated worker answer gets no final chunk or padding, so that the caller detects the
+A truncated worker response gets no final chunk or padding, so that the caller detects the
 truncation by the framing.
 """
 
@@ -21,14 +21,14 @@
 from cranklane.sidecar.request.attempt import Reply
 
 WRITE_TIMEOUT_SECONDS = 10.0
-"""Write timeout for a caller that reads nothing: bounds how long its answer stays in memory."""
+"""Write timeout for a caller that reads nothing: bounds how long its response stays in memory."""
 
 _CLOSE_LINE = b"Connection: close\r\n"
 _CHUNKED_FRAMINGS = (Framing.CHUNKED, Framing.UNTIL_CLOSE)
 
 
 class AnswerWriter:
-    """Writes the answers of one ingress."""
+    """Writes the responses of one ingress."""
 
     def __init__(self, runtime: Runtime, names: HeaderNames) -> None:
         self._runtime = runtime
@@ -37,9 +37,9 @@
     def write_worker_answer(
         self, connection: CallerConnection, reply: Reply, reusable: bool, deadline: float
     ) -> bool:
-        """Write a worker's answer; return whether the connection can serve another request.
+        """Write a worker's response; return whether the connection can serve another request.
 
-        :param reusable: whether the connection can be reused if the answer is complete.
+        :param reusable: whether the connection can be reused if the response is complete.
         :param deadline: monotonic second at which the caller gives up.
         """
         connection.stream.settimeout(WRITE_TIMEOUT_SECONDS)
@@ -64,7 +64,7 @@
         chunked: bool,
         deadline: float,
     ) -> bool:
-        """Stream an answer; return whether it was complete.
+        """Stream a response; return whether it was complete.
 
         :param first_bytes: head and first bytes of the body.
         """
@@ -77,7 +77,7 @@
             if chunked:
                 connection.send(LAST_CHUNK)
         except TruncatedAnswerError:
-            # Nothing more is written: the framing shows the caller that the answer is truncated.
+            # Nothing more is written: the framing shows the caller that the response is truncated.
             return False
         finally:
             body_stream.close()  # type: ignore[attr-defined]
--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -86,11 +86,11 @@
     def identify(
         self, head: RequestHead, request: str, table: RouteTable, route: Route, run: Run | None
     ) -> Result[Caller, Reply]:
-        """Return the caller of a request, or the refusal to answer it with.
+        """Return the caller of a request, or the refusal to send.
 
         :param head: contains the key, if one was sent.
         :param request: id of the request.
-        :param run: the run at this machine's worker that makes the call; None for clients.
+        :param run: the run at the local worker that makes the call; None for clients.
         """
         if table.tenants is None or route.public:
             return Ok(Caller("", table.priority_of(route, None)))
--- a/src/cranklane/sidecar/ingress/call_builder.py
+++ b/src/cranklane/sidecar/ingress/call_builder.py
@@ -70,7 +70,7 @@
     ) -> Call:
         """Return the call for a request whose buffered part of the body has been read.
 
-        :param run: the run at this machine's worker that makes the request; None for clients.
+        :param run: the run at the local worker that makes the request; None for clients.
         """
         head = request.head
         started_at = request.started_at
--- a/src/cranklane/sidecar/ingress/caller_connection.py
+++ b/src/cranklane/sidecar/ingress/caller_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection: reads requests, enforces the limit on body size, sends answers."""
+"""A caller's connection: reads requests, enforces the limit on body size, sends responses."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from cranklane.sidecar.request.attempt import MAX_BUFFERED_BODY_BYTES
 
 LINGER_SECONDS = 2.0
-"""Seconds during which incoming bytes are read and discarded after an early answer."""
+"""Seconds during which incoming bytes are read and discarded after an early response."""
 
 _LINGER_READ_BYTES = 64 * 1024
 
 
 class CallerConnection:
-    """A caller's connection and the request under way on it.
+    """A caller's connection and the request in progress on it.
 
     :ivar body: buffered part of the request's body.
     :ivar body_whole: whether ``body`` is the complete body.
@@ -82,7 +82,7 @@
         try:
             self.read_body(MAX_BUFFERED_BODY_BYTES, MAX_BUFFERED_BODY_BYTES)
         except (HeadTooLargeError, MalformedMessageError, TruncatedMessageError, OSError):
-            # The answer does not depend on the body; only the connection cannot be reused.
+            # The response does not depend on the body; only the connection cannot be reused.
             return False
         return self.body_whole
 
@@ -98,7 +98,7 @@
         """Shut down the sending side, then read and discard incoming bytes for a while.
 
         Closing a socket with unread bytes resets the connection, and the caller may lose the
-        answer.
+        response.
         """
         try:
             self.stream.shutdown(1)
--- a/src/cranklane/sidecar/ingress/caller_request.py
+++ b/src/cranklane/sidecar/ingress/caller_request.py
@@ -23,7 +23,7 @@
 class UnreadableRequestError(Exception):
     """A request could not be read, so its connection cannot be reused.
 
-    :ivar status: HTTP status of the answer; None if the caller has disconnected.
+    :ivar status: HTTP status of the response; None if the caller has disconnected.
     """
 
     def __init__(self, status: HTTPStatus | None) -> None:
@@ -62,11 +62,11 @@
     except MalformedMessageError as error:
         raise UnreadableRequestError(HTTPStatus.BAD_REQUEST) from error
     except TruncatedMessageError:
-        # The caller closed the connection within a head and cannot read an answer.
+        # The caller closed the connection within a head and cannot read a response.
         return None
     except TimeoutError as error:
         if not connection.reader.started:
-            # An idle connection: the caller does not wait for an answer.
+            # An idle connection: the caller does not wait for a response.
             return None
         raise UnreadableRequestError(HTTPStatus.REQUEST_TIMEOUT) from error
 
--- a/src/cranklane/sidecar/ingress/disconnect.py
+++ b/src/cranklane/sidecar/ingress/disconnect.py
@@ -1,4 +1,4 @@
-"""Detects callers that disconnect while their request is under way, to cancel its work."""
+"""Detects callers that disconnect while their request is in flight, to cancel its work."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DisconnectWatch:
-    """Polls the connections whose callers wait for an answer.
+    """Polls the connections whose callers wait for a response.
 
     One poll of all connections is cheaper than an event handler for each; polling pauses while
     there are none.
--- a/src/cranklane/sidecar/ingress/ingress.py
+++ b/src/cranklane/sidecar/ingress/ingress.py
@@ -1,7 +1,7 @@
 """Serves the callers of a machine, with one task for each connection.
 
 For each request: read the head, find the route, authenticate the caller, read the body,
-dispatch the call, write the answer.
+dispatch the call, write the response.
 """
 
 from __future__ import annotations
@@ -40,15 +40,15 @@
 _FIRST_SERVER_ERROR = HTTPStatus.INTERNAL_SERVER_ERROR.value
 
 _DISCONNECTED_STATUS = 0
-"""Status in logs and counters of a request whose caller disconnected before the answer."""
+"""Status in logs and counters of a request whose caller disconnected before the response."""
 
 
-class IngressParts(NamedTuple):
-    """Components that an ingress uses.
+class IngressDependencies(NamedTuple):
+    """Dependencies of an ingress.
 
     :ivar table: returns the route table in force.
-    :ivar disconnects: detects callers that disconnect before their answer.
-    :ivar call_tree: runs under way at this machine's worker.
+    :ivar disconnects: detects callers that disconnect before their response.
+    :ivar call_tree: runs in flight at the local worker.
     :ivar on_decision: called with the decision on each request that could be read.
     """
 
@@ -64,22 +64,26 @@
     """Serves requests of callers.
 
     :param caller_service: service of this machine, sent as a header with every request.
-    :ivar stopping: whether connections are closed after their current answer.
+    :ivar stopping: whether connections are closed after their current response.
     :ivar refuses_clients: whether clients' requests are refused because the process may exit
-        before they finish; calls of runs at this machine's worker are still accepted.
-    :ivar in_flight: requests whose head has been read and whose answer is not yet written.
+        before they finish; calls of runs at the local worker are still accepted.
+    :ivar in_flight: requests whose head has been read and whose response is not yet written.
     """
 
     def __init__(
-        self, runtime: Runtime, names: HeaderNames, caller_service: str, parts: IngressParts
+        self,
+        runtime: Runtime,
+        names: HeaderNames,
+        caller_service: str,
+        dependencies: IngressDependencies,
     ) -> None:
         self._runtime = runtime
-        self._table = parts.table
-        self._authentication = parts.authentication
-        self._dispatcher = parts.dispatcher
-        self._disconnects = parts.disconnects
-        self._call_tree = parts.call_tree
-        self._on_decision = parts.on_decision
+        self._table = dependencies.table
+        self._authentication = dependencies.authentication
+        self._dispatcher = dependencies.dispatcher
+        self._disconnects = dependencies.disconnects
+        self._call_tree = dependencies.call_tree
+        self._on_decision = dependencies.on_decision
         self._request_name = names.request.lower()
         self._call_builder = CallBuilder(names, caller_service, Splitter(runtime.random.random()))
         self._writer = AnswerWriter(runtime, names)
--- a/src/cranklane/sidecar/ingress/request_decision.py
+++ b/src/cranklane/sidecar/ingress/request_decision.py
@@ -18,8 +18,8 @@
 ) -> Decision:
     """Return the decision for a dispatched request.
 
-    :param status: HTTP status of the answer; 0 if the caller disconnected before it.
-    :param seconds: time from the request's head to the end of its answer.
+    :param status: HTTP status of the response; 0 if the caller disconnected before it.
+    :param seconds: time from the request's head to the end of its response.
     """
     call = progress.call
     return Decision(
--- a/src/cranklane/sidecar/own_member.py
+++ b/src/cranklane/sidecar/local_member.py
@@ -9,7 +9,7 @@
 from cranklane.sidecar.worker.registry import WorkerRegistry
 
 
-class OwnMember:
+class LocalMember:
     """This sidecar as a member of the fleet.
 
     :param incarnation: distinguishes this process from earlier ones of the same name.
@@ -35,7 +35,7 @@
 
     @property
     def state(self) -> MemberState:
-        """Whether other sidecars may send requests here."""
+        """State to announce: DRAINING during a planned stop, otherwise the worker's."""
         if self.stopping:
             return MemberState.DRAINING
         return self._worker.member_state
@@ -72,7 +72,7 @@
         )
 
     def next_member(self) -> Member:
-        """Return this sidecar's member entry for its own routing, with the next sequence number."""
+        """Return the member entry for this sidecar's routing, with the next sequence number."""
         self._sequence += 1
         return Member(
             incarnation=self.incarnation,
--- a/src/cranklane/sidecar/planned_stop.py
+++ b/src/cranklane/sidecar/planned_stop.py
@@ -17,8 +17,8 @@
 """Upper limit on the withdrawal time as a fraction of the stop."""
 
 MAX_ACCEPTING_FRACTION = 0.5
-"""Fraction of the stop after which clients' requests are refused, to leave time for those under
-way: if most machines of a zone stop at once, clients keep sending for lack of alternatives."""
+"""Fraction of the stop after which clients' requests are refused, to leave time for those in
+flight. If most machines of a zone stop at once, clients have no other machines to send to."""
 
 CLOSE_MARGIN_SECONDS = 0.5
 """Seconds of the configured stop time reserved for closing and for the last log lines."""
@@ -32,7 +32,7 @@
 
     :ivar withdrawal_seconds: time for callers to notice the stop.
     :ivar accepts_until: monotonic second from which clients' requests are refused.
-    :ivar ends_at: monotonic second after which requests under way are cut.
+    :ivar ends_at: monotonic second after which requests in flight are aborted.
     """
 
     withdrawal_seconds: float
@@ -57,6 +57,6 @@
 
 
 def wait_until_idle(runtime: Runtime, is_busy: Callable[[], bool], ends_at: float) -> None:
-    """Wait until no request is under way, or until the monotonic second ``ends_at``."""
+    """Wait until no request is in flight, or until the monotonic second ``ends_at``."""
     while is_busy() and runtime.monotonic() < ends_at:
         gevent.sleep(IDLE_CHECK_INTERVAL_SECONDS)
--- a/src/cranklane/sidecar/process.py
+++ b/src/cranklane/sidecar/process.py
@@ -17,8 +17,8 @@
 from cranklane.sidecar.control_link import ControlledState, ControlLink
 from cranklane.sidecar.ingress.authentication import Authentication
 from cranklane.sidecar.ingress.disconnect import DisconnectWatch
-from cranklane.sidecar.ingress.ingress import Ingress, IngressParts
-from cranklane.sidecar.own_member import OwnMember
+from cranklane.sidecar.ingress.ingress import Ingress, IngressDependencies
+from cranklane.sidecar.local_member import LocalMember
 from cranklane.sidecar.planned_stop import stop_times, wait_until_idle
 from cranklane.sidecar.quarantine.api import QuarantineApi
 from cranklane.sidecar.quarantine.gossip import QuarantineGossip
@@ -84,7 +84,7 @@
         self.condition = WorkerCondition(runtime.monotonic, self._condition_changed)
         self._discovery = WorkerDiscovery(runtime, self.worker, self._names, self._log)
         incarnation = int(runtime.wall() * MILLISECONDS)
-        self.own = OwnMember(settings, incarnation, self.worker, self.condition)
+        self.local_member = LocalMember(settings, incarnation, self.worker, self.condition)
 
     def _build_table(self) -> None:
         runtime, settings = self._runtime, self.settings
@@ -134,7 +134,7 @@
         choice = WorkerChoice(
             self.destinations, runtime.monotonic, runtime.random, settings.name, settings.zone
         )
-        parts = DispatcherDependencies(
+        dependencies = DispatcherDependencies(
             self.destinations,
             choice,
             self.gate,
@@ -144,13 +144,13 @@
             self.decisions.attempted,
             self.decisions.quarantined,
         )
-        self.dispatcher = Dispatcher(runtime, parts, settings.name, settings.service)
+        self.dispatcher = Dispatcher(runtime, dependencies, settings.name, settings.service)
 
     def _build_ingress(self, call_tree: CallTree, disconnects: DisconnectWatch) -> None:
         authentication = Authentication(
             self._names, self.lease, self.quota, self.decisions.refused_at_ingress
         )
-        parts = IngressParts(
+        dependencies = IngressDependencies(
             table=lambda: self.adopted.table,
             authentication=authentication,
             dispatcher=self.dispatcher,
@@ -158,7 +158,7 @@
             call_tree=call_tree,
             on_decision=self.decisions.decided,
         )
-        self.ingress = Ingress(self._runtime, self._names, self.settings.service, parts)
+        self.ingress = Ingress(self._runtime, self._names, self.settings.service, dependencies)
 
     def _build_control_link(self) -> None:
         state = ControlledState(
@@ -170,7 +170,7 @@
             quarantine=self.quarantine,
         )
         self.control = ControlLink(
-            self._runtime, self.settings, self.own, self.condition, state, self._log
+            self._runtime, self.settings, self.local_member, self.condition, state, self._log
         )
         sources = GaugeSources(
             table=self.adopted,
@@ -216,7 +216,7 @@
 
     def is_ready(self) -> bool:
         """Return whether callers may send requests to this sidecar."""
-        return self.adopted.version > 0 and not self.own.stopping
+        return self.adopted.version > 0 and not self.local_member.stopping
 
     def reload(self, settings: SidecarSettings) -> None:
         """Apply changed settings; only ``seeds`` and ``operator_digest`` may differ."""
@@ -228,7 +228,7 @@
     # Callbacks of the components.
 
     def _hello(self) -> Hello:
-        return self.own.hello(self.adopted.version)
+        return self.local_member.hello(self.adopted.version)
 
     def _table_adopted(self) -> None:
         self.lease.adopted(self.adopted.version)
@@ -249,15 +249,15 @@
         if self.worker.instance != self._caught_up_instance:
             self._caught_up_instance = self.worker.instance
             self._runtime.spawn(self.quarantine.anti_entropy.catch_up)
-        self.destinations.set_local_member(self.own.next_member())
+        self.destinations.set_local_member(self.local_member.next_member())
         self.control.announce()
 
     def stop(self) -> bool:
-        """Stop as planned: withdraw, accept requests for a while, and finish those under way.
+        """Stop as planned: withdraw, accept requests for a while, and finish those in flight.
 
         :returns: whether all requests finished.
         """
-        if self.own.stopping:
+        if self.local_member.stopping:
             return True
         began_at = self._runtime.monotonic()
         times = stop_times(began_at, self.settings.stop_seconds)
@@ -277,7 +277,7 @@
 
     def _withdraw(self) -> None:
         """Announce to control and callers that this sidecar is draining."""
-        self.own.stopping = True
+        self.local_member.stopping = True
         self.ingress.stopping = True
         self._log.info("stopping", in_flight=self.ingress.in_flight, running=self.slots.running)
         self._worker_changed()
--- a/src/cranklane/sidecar/quarantine/anti_entropy.py
+++ b/src/cranklane/sidecar/quarantine/anti_entropy.py
@@ -65,7 +65,7 @@
         while True:
             self._table.has_entries.wait()
             gevent.sleep(COMPARE_INTERVAL_SECONDS)
-            self._table.forget_old()
+            self._table.drop_expired()
             if self._table.quarantined():
                 self._sync_with_peers()
 
--- a/src/cranklane/sidecar/quarantine/table.py
+++ b/src/cranklane/sidecar/quarantine/table.py
@@ -87,8 +87,8 @@
         """Return the requests that are quarantined or on probation."""
         return [entry for entry in self._entries.values() if entry.was_quarantined]
 
-    def forget_old(self) -> None:
-        """Remove expired entries."""
+    def drop_expired(self) -> None:
+        """Remove the expired entries."""
         now = self._clock()
         for entry in list(self._entries.values()):
             if rules.is_forgotten(now, entry.suspected_at, entry.quarantined_until):
--- a/src/cranklane/sidecar/readiness_api.py
+++ b/src/cranklane/sidecar/readiness_api.py
@@ -24,7 +24,7 @@
         self._is_ready = is_ready
 
     def handle(self, method: str, path: str, _body: bytes) -> SmallAnswer:
-        """Return the answer to a call; 404 for unknown paths and methods."""
+        """Return the response to a call; 404 for unknown paths and methods."""
         if method != "GET" or path != READY_PATH:
             return _NOT_FOUND
         return _READY if self._is_ready() else _NOT_READY
--- a/src/cranklane/sidecar/request/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -66,15 +66,15 @@
 
 @dataclass(slots=True)
 class Reply:
-    """Outcome of an attempt, with the worker's answer if there is one.
+    """Outcome of an attempt, with the worker's response if there is one.
 
     :ivar arrived: whether the request reached a worker.
     :ivar retry_after_ms: delay before a refused request may be retried, or the remaining
         quarantine of a request during which the worker crashed.
-    :ivar lines: the answer's headers for the caller, without framing headers.
+    :ivar lines: the response's headers for the caller, without framing headers.
     :ivar body: the body, or its first chunk if ``rest`` is set.
     :ivar waited_ms: time in the queue for a slot.
-    :ivar run_time_ms: time from the start of the run to the worker's answer.
+    :ivar run_time_ms: time from the start of the run to the worker's response.
     :ivar downstream_starved: whether the run failed because a downstream call was refused
         for lack of capacity.
     :ivar failure: the downstream call that made the run fail, if any.
--- a/src/cranklane/sidecar/request/call.py
+++ b/src/cranklane/sidecar/request/call.py
@@ -23,10 +23,10 @@
 
     :ivar request_id: id sent by the caller.
     :ivar service: service whose workers may run the request.
-    :ivar started_at: monotonic time in seconds at which its first byte was read.
+    :ivar started_at: monotonic time in seconds at which its head was read.
     :ivar deadline: monotonic time in seconds at which the caller gives up, from the caller's
         header or the route's timeout.
-    :ivar bodiless: whether the answer has no body, as for HEAD.
+    :ivar bodiless: whether the response has no body, as for HEAD.
     :ivar framing: how the end of the request body is determined.
     :ivar length: declared size of the body in bytes.
     :ivar lines: request line and headers, without framing headers and those set by the gate.
@@ -83,7 +83,7 @@
     work: SlotWork = field(default_factory=SlotWork)
 
     def note_suspicion(self, node: str, reason: Reason) -> None:
-        """Update ``suspected`` and ``isolated`` from the reason of a reply without an answer.
+        """Update ``suspected`` and ``isolated`` from the reason of a reply without a response.
 
         :param node: node that replied.
         """
--- a/src/cranklane/sidecar/request/call_tree.py
+++ b/src/cranklane/sidecar/request/call_tree.py
@@ -24,7 +24,7 @@
 
     :ivar priority: priority of its route or tenant; 0 is the highest.
     :ivar began_at: time at which it was received.
-    :ivar objective_at: latest time at which an answer meets the objective.
+    :ivar objective_at: latest time at which a response meets the objective.
     :ivar deadline: time at which its caller gives up.
     :ivar is_retry: whether any run between the root and this request is a retry; calls made by
         a retry count as retries at the called services.
@@ -41,7 +41,7 @@
     """The deepest known failed call of a call tree.
 
     :ivar service: the called service.
-    :ivar reason: reason for the missing answer; NONE if the worker answered with an error.
+    :ivar reason: reason for the missing response; NONE if the worker answered with an error.
     """
 
     service: str
@@ -74,7 +74,7 @@
     def record_call_end(self, failure: CallFailure | None, starved: bool, work: SlotWork) -> None:
         """Record the end of a call of the run.
 
-        :param failure: the failed call; None after an answer.
+        :param failure: the failed call; None after a response.
         :param starved: whether it failed for lack of capacity at any depth.
         :param work: slot time used by the call and its own calls.
         """
--- a/src/cranklane/sidecar/request/decision.py
+++ b/src/cranklane/sidecar/request/decision.py
@@ -17,7 +17,7 @@
     :ivar status: HTTP status sent to the caller; 0 if the caller had disconnected.
     :ivar attempts: number of attempts that reached a worker.
     :ivar refusals: number of refusals for lack of capacity.
-    :ivar seconds: time from the request's head to the end of its answer.
+    :ivar seconds: time from the request's head to the end of its response.
     :ivar allowed_seconds: time to the deadline set by the caller's header or the route; 0
         without a route.
     :ivar objective_seconds: the route's latency objective; 0 without a route.
--- a/src/cranklane/sidecar/request/slot_work.py
+++ b/src/cranklane/sidecar/request/slot_work.py
@@ -1,7 +1,7 @@
 """Slot time used for one request, by service, to account for work wasted on failed requests.
 
 Each sidecar sees only the runs of the local worker, so the sums are returned up the call tree
-with the answers and are complete at the sidecar that received the root request.
+with the responses and are complete at the sidecar that received the root request.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 class SlotWork:
     """Milliseconds of slot time by service.
 
-    A lower bound, because a lost answer loses its sums.
+    A lower bound, because a lost response loses its sums.
     """
 
     __slots__ = ("_milliseconds",)
--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -21,7 +21,7 @@
 
 UNCONFIRMED_EXPIRY_SECONDS = 10.0
 """Seconds until a destination expires after control omits it from a full list or reports it as
-silent. Each answer from it restarts the expiry. Longer than a restarted control process takes to
+silent. Each response from it restarts the expiry. Longer than a restarted control process takes to
 learn of all members, and than a brief partition between control and reachable sidecars."""
 
 
@@ -36,13 +36,13 @@
         ``condition_at`` with a reply or from control.
     :ivar control_condition: condition last received from control.
     :ivar slowness: ratio of run times observed by this sidecar to the expected latency.
-    :ivar consecutive_failures: failures since the last answer or successful connection.
+    :ivar consecutive_failures: failures since the last response or successful connection.
     :ivar ejected_until: end of the ejection; an ejected destination gets requests only if all
         candidates are ejected.
     :ivar saturated_until: end of the saturation, which applies to requests of
         ``saturated_priority`` and lower priorities.
     :ivar confirmed_at: None while control lists the destination; otherwise the time at which
-        control stopped listing it, or of the last answer after that.
+        control stopped listing it, or of the last response after that.
     :ivar removed: True once the destination has been removed from ``Destinations``.
     """
 
@@ -86,7 +86,7 @@
         self.sent_since_report = max(0, self.sent_since_report - 1)
 
     def record_answer(self, now: float, load: Load) -> None:
-        """Record an answer of the worker and the load reported with it."""
+        """Record a response of the worker and the load reported with it."""
         self.consecutive_failures = 0
         if self.confirmed_at is not None:
             self.confirmed_at = now
@@ -147,7 +147,7 @@
             self.confirmed_at = now
 
     def is_expired(self, now: float) -> bool:
-        """Return whether neither control nor an answer has confirmed it for too long."""
+        """Return whether neither control nor a response has confirmed it for too long."""
         return (
             self.confirmed_at is not None and now - self.confirmed_at > UNCONFIRMED_EXPIRY_SECONDS
         )
--- a/src/cranklane/sidecar/routing/destinations.py
+++ b/src/cranklane/sidecar/routing/destinations.py
@@ -147,8 +147,8 @@
 
     def fleet_size(self) -> FleetSize:
         """Return the number of known sidecars, including this one."""
-        own_missing = self._node_name not in self._by_node
-        return FleetSize(len(self._by_node) + own_missing, self._grown_at)
+        local_missing = self._node_name not in self._by_node
+        return FleetSize(len(self._by_node) + local_missing, self._grown_at)
 
     def count(self, service: str) -> int:
         """Return the number of live workers of a service."""
--- a/src/cranklane/sidecar/routing/dispatcher.py
+++ b/src/cranklane/sidecar/routing/dispatcher.py
@@ -78,9 +78,9 @@
         self._on_quarantined = dependencies.on_quarantined
 
     def run(self, progress: CallProgress) -> Reply:
-        """Return the answer of a worker, or the reply that states why there is none.
+        """Return the response of a worker, or the reply that states why there is none.
 
-        The result is the last answer, including error answers; without any, it is the last
+        The result is the last response, including error responses; without any, it is the last
         reply. A refusal becomes UNKNOWN if an earlier attempt may have run.
         """
         call = progress.call
@@ -185,7 +185,7 @@
         seconds = self._runtime.monotonic() - now
         if reply.outcome is not Outcome.ANSWERED:
             self._record_suspicion(progress, destination, reply)
-        self._feedback.take(call, destination, reply, seconds)
+        self._feedback.record_reply(call, destination, reply, seconds)
         self._on_attempt(progress, destination, reply, seconds)
         return reply
 
--- a/src/cranklane/sidecar/routing/ejection.py
+++ b/src/cranklane/sidecar/routing/ejection.py
@@ -1,7 +1,7 @@
 """Rules for the ejection of failing destinations; ``Destination`` holds the state.
 
 Ejection applies to destinations whose sidecar or worker is unreachable or repeatedly gives no
-answer. Slow workers and failed runs raise the cost instead (``cost``). ``cranklane.node``
+response. Slow workers and failed runs raise the cost instead (``cost``). ``cranklane.node``
 ejects by separate rules: for failed calls only, and for longer.
 """
 
@@ -24,7 +24,7 @@
 """Seconds between connection attempts to a destination whose sidecar is unreachable."""
 
 SIDECAR_UNREACHABLE = (Reason.PEER_UNREACHABLE, Reason.PEER_LOST)
-"""Reasons given when the destination's sidecar does not answer."""
+"""Reasons given when the destination's sidecar does not respond."""
 
 WORKER_UNREACHABLE = (Reason.WORKER_UNREACHABLE, Reason.WORKER_ENDED, Reason.WORKER_LEFT)
 """Reasons given when no process listens at the worker's address."""
@@ -33,7 +33,7 @@
 
 
 class Failure(Enum):
-    """Destination failure indicated by a reply without an answer."""
+    """Destination failure indicated by a reply without a response."""
 
     NONE = auto()
     """Not a failure: a refusal due to the request itself or to lack of capacity."""
@@ -47,7 +47,7 @@
 
 
 def failure_of(outcome: Outcome, reason: Reason) -> Failure:
-    """Classify a reply without an answer by the destination failure that it indicates."""
+    """Classify a reply without a response by the destination failure that it indicates."""
     if reason in SIDECAR_UNREACHABLE:
         return Failure.SIDECAR_UNREACHABLE
     if reason in WORKER_UNREACHABLE:
--- a/src/cranklane/sidecar/routing/feedback.py
+++ b/src/cranklane/sidecar/routing/feedback.py
@@ -36,8 +36,10 @@
         self._peers = peers
         self.latencies = ExpectedLatencies()
 
-    def take(self, call: Call, destination: Destination, reply: Reply, seconds: float) -> None:
-        """Update the destination of an attempt from its reply.
+    def record_reply(
+        self, call: Call, destination: Destination, reply: Reply, seconds: float
+    ) -> None:
+        """Update the destination of an attempt from the reply.
 
         :param seconds: duration of the attempt.
         """
--- a/src/cranklane/sidecar/routing/forward_records.py
+++ b/src/cranklane/sidecar/routing/forward_records.py
@@ -48,7 +48,7 @@
 
 
 def encode_reply(reply: Reply) -> ForwardAnswer:
-    """Encode a reply as the record that starts the answer to another sidecar."""
+    """Encode a reply as the record that starts the response to another sidecar."""
     load = reply.load
     return ForwardAnswer(
         outcome=reply.outcome,
--- a/src/cranklane/sidecar/routing/peer_client.py
+++ b/src/cranklane/sidecar/routing/peer_client.py
@@ -39,7 +39,7 @@
 closed it. Saves a system call per request under load."""
 
 EXCHANGE_TIMEOUT_SECONDS = 1.0
-"""Timeout for the answer to a quarantine update."""
+"""Timeout for the response to a quarantine update."""
 
 
 class _Connection:
@@ -140,7 +140,7 @@
             while True:
                 _, message = records.receive()
                 if not isinstance(message, ForwardBody):
-                    raise TruncatedAnswerError("the answer was cut at the worker")
+                    raise TruncatedAnswerError("the response was truncated at the worker's sidecar")
                 if message.data:
                     yield message.data
                 if message.last:
@@ -155,7 +155,7 @@
                 records.close()
 
     def exchange(self, address: Address, update: QuarantineNews) -> QuarantineNews | None:
-        """Send a quarantine update and return the answer, or None if the exchange failed.
+        """Send a quarantine update and return the response, or None if the exchange failed.
 
         The caller is responsible for sending the update again.
         """
@@ -214,5 +214,5 @@
         # The caller's body is incomplete: close, so that the peer does not treat it as complete.
         records.close()
     except ConnectionLostError:
-        # Reported by the task that waits for the answer on this connection.
+        # Reported by the task that waits for the response on this connection.
         return
--- a/src/cranklane/sidecar/routing/peer_server.py
+++ b/src/cranklane/sidecar/routing/peer_server.py
@@ -34,7 +34,7 @@
 class PeerServer:
     """Serves connections of other sidecars.
 
-    :param on_update: applies a quarantine update and returns the answer to it.
+    :param on_update: applies a quarantine update and returns the response to it.
     """
 
     def __init__(
--- a/src/cranklane/sidecar/routing/retry_policy.py
+++ b/src/cranklane/sidecar/routing/retry_policy.py
@@ -84,13 +84,13 @@
         return Verdict.NEWLY_QUARANTINED
     if reply.outcome is Outcome.ANSWERED:
         if reply.status != _RETRYABLE_STATUS:
-            # Another worker would give the same answer.
+            # Another worker would give the same response.
             return Verdict.ANSWERED
         if reply.downstream_starved:
             # A downstream service lacks capacity, and a retry would add to its load.
             return Verdict.DOWNSTREAM_STARVED
         if reply.rest is not None:
-            # The answer is too large to buffer as the fallback for a failed retry.
+            # The response is too large to buffer as the fallback for a failed retry.
             return Verdict.ANSWER_NOT_BUFFERED
     if reply.outcome is not Outcome.NOT_RUN:
         if not call.route.idempotent:
--- a/src/cranklane/sidecar/table/table_lease.py
+++ b/src/cranklane/sidecar/table/table_lease.py
@@ -3,7 +3,7 @@
 A revoked key must be rejected everywhere after a configured time, even at a sidecar that is cut
 off from control. Requests with a key are therefore served only if a controller has recently
 confirmed the table as the newest. The lease starts when the confirmation was requested, because
-its answer may be delayed.
+its response may be delayed.
 """
 
 from __future__ import annotations
--- a/src/cranklane/sidecar/telemetry/gauges.py
+++ b/src/cranklane/sidecar/telemetry/gauges.py
@@ -17,7 +17,7 @@
     """Components whose state the gauges expose.
 
     :ivar is_ready: returns whether callers may send requests.
-    :ivar is_connected: returns whether a controller answers.
+    :ivar is_connected: returns whether a controller responds.
     """
 
     table: AdoptedTable
--- a/src/cranklane/sidecar/telemetry/metrics.py
+++ b/src/cranklane/sidecar/telemetry/metrics.py
@@ -154,7 +154,7 @@
         self._request_seconds[service].observe(decision.seconds)
 
     def work(self, work: SlotWork, end: Enum) -> None:
-        """Count what a client's request has cost, by how it ended (``request_summary.End``)."""
+        """Add the slot time used for a client's request, by its ``request_summary.End``."""
         for service, milliseconds in work:
             self._work.values[service, end.value] += milliseconds
 
--- a/src/cranklane/sidecar/telemetry/request_summary.py
+++ b/src/cranklane/sidecar/telemetry/request_summary.py
@@ -30,11 +30,11 @@
     IN_TIME = "in_time"
     LATE = "late"
     REFUSED = "refused"
-    """The request has not run, and the client got an answer that states it."""
+    """The request has not run, as the response to the client states."""
     FAILED = "failed"
     """The request may have run; the client got an error."""
     DISCONNECTED = "left"
-    """The client disconnected before the answer."""
+    """The client disconnected before the response."""
 
 
 class Cause(NamedTuple):
--- a/src/cranklane/sidecar/worker/api.py
+++ b/src/cranklane/sidecar/worker/api.py
@@ -30,7 +30,7 @@
         self._log = log
 
     def handle(self, method: str, path: str, body: bytes) -> SmallAnswer:
-        """Return the answer to a call; 404 for unknown paths and methods."""
+        """Return the response to a call; 404 for unknown paths and methods."""
         if method != "POST" or not path.startswith(INSTANCES_PATH):
             return _NOT_FOUND
         instance, _, action = path[len(INSTANCES_PATH) :].partition("/")
--- a/src/cranklane/sidecar/worker/body_sender.py
+++ b/src/cranklane/sidecar/worker/body_sender.py
@@ -1,4 +1,4 @@
-"""Sends a request's body to the worker while the answer is read."""
+"""Sends a request's body to the worker while the response is read."""
 
 from __future__ import annotations
 
--- a/src/cranklane/sidecar/worker/condition.py
+++ b/src/cranklane/sidecar/worker/condition.py
@@ -1,7 +1,7 @@
 """Tracks the fault ratio and slowness of a worker, and decides when to report them to callers.
 
 In a large fleet a caller sends too few requests to each worker to detect a bad one, but the
-worker's sidecar sees every run. It attaches the condition to each answer, and reports it to
+worker's sidecar sees every run. It attaches the condition to each reply, and reports it to
 control, which distributes it with the member list.
 
 Receivers let a reported condition decay. The sidecar applies the same decay and sends a report
@@ -112,7 +112,7 @@
 
 
 class WorkerCondition:
-    """Condition of this sidecar's worker, and the last report of it.
+    """Condition of the local worker, and the last report of it.
 
     :param clock: returns monotonic seconds.
     :param on_report: called with each new condition to report.
--- a/src/cranklane/sidecar/worker/exchange.py
+++ b/src/cranklane/sidecar/worker/exchange.py
@@ -1,6 +1,6 @@
-"""Sends a request to the worker and reads the answer.
+"""Sends a request to the worker and reads the response.
 
-After a failure, decides whether the request has not run or may have run. An answer is accepted
+After a failure, decides whether the request has not run or may have run. A response is accepted
 only if it repeats the request id and, for a success, carries the integrity header.
 """
 
@@ -33,7 +33,7 @@
 from cranklane.sidecar.worker.pool import WorkerConnection, WorkerPool
 
 INLINE_SEND_BYTES = 16 * 1024
-"""Largest body that is sent before the answer is read. It fits the socket buffer: sending more
+"""Largest body that is sent before the response is read. It fits the socket buffer: sending more
 could deadlock with a worker that answers before it has read the body."""
 
 # Plain integers, because comparing with members of HTTPStatus is slow.
@@ -42,7 +42,7 @@
 _FIRST_REDIRECTION = HTTPStatus.MULTIPLE_CHOICES.value
 
 MAX_SURPLUS_ANSWERS = 4
-"""Answers read on a connection, including those to other requests, to find the expected one."""
+"""Responses read on a connection, including those to other requests, to find the expected one."""
 
 
 class WorkerExchange:
@@ -71,7 +71,7 @@
     def run(
         self, attempt: Attempt, instance: str, deadline: float, on_sent: Callable[[], None]
     ) -> Reply:
-        """Send a request and return its answer, a large one with an iterator for its rest.
+        """Send a request and return the reply; ``Reply.rest`` streams the rest of a large response.
 
         :param instance: the worker instance that may run the request.
         :param deadline: monotonic second at which the caller gives up.
@@ -123,11 +123,11 @@
         return self._read_reply(head, connection, sender)
 
     def _is_refusal(self, head: AnswerHead) -> bool:
-        """Return whether an answer states that the request was not run."""
+        """Return whether a response states that the request was not run."""
         return head.status == _MISDIRECTED or head.value(self._not_run_name) is not None
 
     def _is_genuine(self, head: AnswerHead) -> bool:
-        """Return whether an answer is an error or carries the worker's integrity header."""
+        """Return whether a response is an error or carries the worker's integrity header."""
         success = _FIRST_SUCCESS <= head.status < _FIRST_REDIRECTION
         return not success or head.value(self._integrity_name) is not None
 
@@ -157,7 +157,7 @@
     def _matching_answer(
         self, request: ForwardRequest, connection: WorkerConnection
     ) -> AnswerHead | None:
-        """Return the head of this request's answer; answers to other requests are discarded."""
+        """Return the head of this request's response; discard responses to other requests."""
         expected = request.request_id.encode()
         reader = connection.reader
         for _ in range(MAX_SURPLUS_ANSWERS):
@@ -240,7 +240,7 @@
     def _finish_exchange(
         self, head: AnswerHead, connection: WorkerConnection, sender: BodySender | None
     ) -> None:
-        """Return the connection to the pool if both request and answer are complete."""
+        """Return the connection to the pool if both request and response are complete."""
         surplus = connection.reader.surplus
         connection.reader.finish()
         if surplus or (sender is not None and not sender.done):
--- a/src/cranklane/sidecar/worker/exit.py
+++ b/src/cranklane/sidecar/worker/exit.py
@@ -1,4 +1,4 @@
-"""Tracks the runs under way at the worker, and reports those interrupted by its exit.
+"""Tracks the runs in flight at the worker, and reports those interrupted by its exit.
 
 An exit is planned if the worker had announced it by draining or deregistering. Any other exit is
 a crash, and the interrupted runs are suspected of causing it (``quarantine``).
@@ -21,7 +21,7 @@
 
 
 class InterruptedRun(NamedTuple):
-    """A run that was under way when the worker exited.
+    """A run that was in flight when the worker exited.
 
     :ivar request: id of the request.
     :ivar seconds: run time until the exit.
--- a/src/cranklane/sidecar/worker/instances.py
+++ b/src/cranklane/sidecar/worker/instances.py
@@ -9,16 +9,16 @@
 from typing import Any
 
 MAX_INSTANCES = 64
-"""Instances that are remembered; bounds memory."""
+"""Limit on the remembered instances; bounds memory."""
 
 
 class InstanceHistory:
-    """Newest sequence number of each instance of a worker, and the instances that have ended."""
+    """Newest sequence number of each worker instance, and the announced planned exits."""
 
     def __init__(self) -> None:
         # Ordered by first heartbeat.
         self._sequences: OrderedDict[str, int] = OrderedDict()
-        self._ended: OrderedDict[str, None] = OrderedDict()
+        self._planned_exits: OrderedDict[str, None] = OrderedDict()
 
     def advance(self, instance: str, sequence: int) -> bool:
         """Record a heartbeat's sequence number; return False if the heartbeat is late.
@@ -32,13 +32,13 @@
         _store_bounded(self._sequences, instance, sequence)
         return True
 
-    def end(self, instance: str) -> None:
-        """Record that an instance drains or has deregistered; this is final."""
-        _store_bounded(self._ended, instance, None)
+    def record_planned_exit(self, instance: str) -> None:
+        """Record that an instance drains or has deregistered; it never becomes ready again."""
+        _store_bounded(self._planned_exits, instance, None)
 
-    def has_ended(self, instance: str) -> bool:
-        """Return whether an instance has announced its exit."""
-        return instance in self._ended
+    def has_planned_exit(self, instance: str) -> bool:
+        """Return whether an instance drains or has deregistered."""
+        return instance in self._planned_exits
 
     def forget_sequence(self, instance: str) -> None:
         """Forget an instance's sequence number, so that its next heartbeat is accepted."""
--- a/src/cranklane/sidecar/worker/pool.py
+++ b/src/cranklane/sidecar/worker/pool.py
@@ -17,12 +17,12 @@
 """Connect timeout; reached only if the worker's accept queue is full."""
 
 MAX_HEAD_BYTES = 64 * 1024
-"""Limit on the size of an answer's head; bounds memory."""
+"""Limit on the size of a response's head; bounds memory."""
 
 MAX_IDLE_SECONDS = 4.0
 """Idle time after which a connection is not reused; below the common server timeout of 5 s."""
 
-UNCHECKED_SECONDS = 0.3
+UNCHECKED_IDLE_SECONDS = 0.3
 """Idle time up to which a connection is reused without a system call to check for its closing."""
 
 KEEP_ALIVE_MARGIN_SECONDS = 1.5
@@ -31,9 +31,9 @@
 
 
 class WorkerConnection:
-    """A connection to the worker and the reader of its answers.
+    """A connection to the worker and the reader of its responses.
 
-    :ivar idle_since: monotonic second at which the last answer had been read.
+    :ivar idle_since: monotonic second at which the last response had been read.
     :ivar max_idle_seconds: idle time up to which the connection may be reused.
     """
 
@@ -46,7 +46,7 @@
         self.max_idle_seconds = MAX_IDLE_SECONDS
 
     def apply_keep_alive(self, head: AnswerHead) -> None:
-        """Apply the ``Keep-Alive`` timeout of an answer, if it states one."""
+        """Apply the ``Keep-Alive`` timeout of a response, if it states one."""
         value = head.value(b"keep-alive")
         if value is None:
             return
@@ -81,14 +81,14 @@
             idle_connection = self._idle.pop()
             idle_for = now - idle_connection.idle_since
             if idle_for < idle_connection.max_idle_seconds:
-                check_closed = always_check or idle_for > UNCHECKED_SECONDS
+                check_closed = always_check or idle_for > UNCHECKED_IDLE_SECONDS
                 if not (check_closed and self._runtime.has_input(idle_connection.stream)):
                     return idle_connection
             idle_connection.close()
         return WorkerConnection(self._runtime.connect(self._address, CONNECT_TIMEOUT_SECONDS))
 
     def give_back(self, connection: WorkerConnection) -> None:
-        """Return a connection to the pool after its answer was read completely."""
+        """Return a connection to the pool after its response was read completely."""
         now = self._runtime.monotonic()
         connection.idle_since = now
         self._idle.append(connection)
--- a/src/cranklane/sidecar/worker/probe.py
+++ b/src/cranklane/sidecar/worker/probe.py
@@ -17,10 +17,10 @@
 from cranklane.sidecar.worker.pool import MAX_HEAD_BYTES
 
 PROBE_TIMEOUT_SECONDS = 0.5
-"""Timeout of the connection and of the answer."""
+"""Timeout of the connection and of the response."""
 
 MAX_ATTEMPTS = 3
-"""Attempts to get an answer; after these, the worker becomes known by its heartbeats."""
+"""Attempts to get a response; after these, the worker becomes known by its heartbeats."""
 
 RETRY_PAUSE_SECONDS = 0.2
 
@@ -29,7 +29,7 @@
 
 
 class ProbedWorker(NamedTuple):
-    """A healthy worker's answer to a probe.
+    """A healthy worker's response to a probe.
 
     :ivar instance: id of the worker's instance.
     :ivar slots: number of concurrent requests.
@@ -62,7 +62,7 @@
         return None
 
     def _request_head(self, path: str) -> AnswerHead | None:
-        """Request the health check once; return the answer's head, or None without an answer."""
+        """Request the health check once; return the response's head, or None if there is none."""
         request = f"GET {path} HTTP/1.1\r\nHost: {format_address(self._address)}\r\n"
         try:
             stream = self._runtime.connect(self._address, PROBE_TIMEOUT_SECONDS)
@@ -74,13 +74,13 @@
             stream.sendall(request.encode("latin-1") + b"Connection: close\r\n\r\n")
             return AnswerReader(stream, MAX_HEAD_BYTES).next_head()
         except (OSError, MalformedMessageError, TruncatedMessageError):
-            # An incomplete or malformed answer counts as none.
+            # An incomplete or malformed response counts as none.
             return None
         finally:
             stream.close()
 
     def _parse_answer(self, head: AnswerHead) -> ProbedWorker | None:
-        """Parse the headers of an answer; return None if they are not those of a healthy worker."""
+        """Parse a response's headers; return None unless they are those of a healthy worker."""
         instance = head.value(self._instance_name)
         load = (head.value(self._load_name) or b"").split(b",")
         if head.status != HTTPStatus.OK or not instance or len(load) != _LOAD_FIELDS:
--- a/src/cranklane/sidecar/worker/registry.py
+++ b/src/cranklane/sidecar/worker/registry.py
@@ -1,4 +1,4 @@
-"""Tracks the instance, state and slots of the worker beside this sidecar.
+"""Tracks the instance, state and slots of the local worker.
 
 Decides from heartbeats and connection errors whether the worker is ready, draining, unreachable
 or lost. A draining worker gets no further requests, since all of them pass through this sidecar.
@@ -79,7 +79,7 @@
 
 
 class WorkerRegistry:
-    """State of the machine's worker.
+    """State of the local worker.
 
     :param service: service of this machine, until a heartbeat states the worker's.
     :param heartbeat_seconds: interval of the worker's heartbeats.
@@ -132,7 +132,7 @@
                 return
             self._adopt_instance(instance)
         self._last_heartbeat_at = self._runtime.monotonic()
-        if self._instances.has_ended(instance):
+        if self._instances.has_planned_exit(instance):
             return
         self.service = heartbeat.service
         usable = usable_slots(heartbeat.slots)
@@ -140,7 +140,7 @@
             self._slots.resize(usable)
             self._on_change()
         if heartbeat.phase is WorkerPhase.DRAINING:
-            self._mark_leaving(instance, WorkerState.DRAINING)
+            self._begin_planned_exit(instance, WorkerState.DRAINING)
         else:
             self._set_state(WorkerState.READY)
 
@@ -158,12 +158,12 @@
         if not self.instance:
             self._adopt_instance(instance)
         if instance == self.instance:
-            self._mark_leaving(instance, WorkerState.GONE)
+            self._begin_planned_exit(instance, WorkerState.GONE)
         else:
-            self._instances.end(instance)
+            self._instances.record_planned_exit(instance)
 
-    def _mark_leaving(self, instance: str, state: WorkerState) -> None:
-        self._instances.end(instance)
+    def _begin_planned_exit(self, instance: str, state: WorkerState) -> None:
+        self._instances.record_planned_exit(instance)
         if self.state is WorkerState.GONE:
             return
         self._set_state(state)
@@ -199,7 +199,7 @@
         """Return whether an instance is older than the current one."""
         if not self.instance:
             return False
-        if self._instances.has_ended(instance):
+        if self._instances.has_planned_exit(instance):
             return True
         if self.state not in (WorkerState.READY, WorkerState.DRAINING):
             return False
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -90,7 +90,7 @@
     ),
     "no requests to draining workers": (
         WorkerRegistry,
-        "_mark_leaving",
+        "_begin_planned_exit",
         ignore_draining,
         test_mesh_workers.test_a_draining_worker_gets_no_requests_after_the_acknowledgement,
     ),
--- a/tests/test_sidecar_rules.py
+++ b/tests/test_sidecar_rules.py
@@ -119,14 +119,14 @@
     assert not history.is_older("a", "b")
 
 
-def test_the_last_64_ended_instances_are_remembered():
+def test_the_last_64_planned_exits_are_remembered():
     history = InstanceHistory()
-    history.end("gone")
+    history.record_planned_exit("gone")
     for number in range(63):
-        history.end(str(number))
-    assert history.has_ended("gone")
-    history.end("one more")
-    assert not history.has_ended("gone")
+        history.record_planned_exit(str(number))
+    assert history.has_planned_exit("gone")
+    history.record_planned_exit("one more")
+    assert not history.has_planned_exit("gone")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -201,9 +201,9 @@
 
 def test_a_condition_repeated_by_control_does_not_reset_its_age():
     sidecar = LocalSidecar()
-    sick = Condition(0.5, 1.0)
-    sidecar["a"].update_control_condition(50.0, sick)
-    sidecar["a"].update_control_condition(60.0, replace(sick))
+    faulty = Condition(0.5, 1.0)
+    sidecar["a"].update_control_condition(50.0, faulty)
+    sidecar["a"].update_control_condition(60.0, replace(faulty))
     assert sidecar["a"].condition_at == 50.0
     sidecar["a"].update_control_condition(70.0, HEALTHY)
     assert sidecar["a"].condition_at == 70.0
