--- a/src/cranklane/sidecar/routing/peer_server.py
+++ b/src/cranklane/sidecar/routing/peer_server.py
@@ -75,9 +75,9 @@
             records.close()
 
     def _handle(self, records: RecordConnection, stream: object, message: Message) -> bool:
-        """Answer a record and return whether the connection can be reused.
+        """Handle a record; return whether the connection can be reused.
 
-        Raises MalformedRecordError for an unexpected kind of record.
+        :raises MalformedRecordError: when the record is of an unexpected kind.
         """
         match message:
             case ForwardRequest():
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -233,10 +233,10 @@
 def test_capacity_refusals_are_counted_until_the_call_is_over():
     progress = CallProgress(CALL, tried={"n1"})
     dispatcher_under_test = dispatcher(StubBudget(True))
-    answers = [
+    retried = [
         dispatcher_under_test._should_retry(progress, FULL) for _ in range(MAX_CAPACITY_REFUSALS)
     ]
-    assert answers == [True] * (MAX_CAPACITY_REFUSALS - 1) + [False]
+    assert retried == [True] * (MAX_CAPACITY_REFUSALS - 1) + [False]
     assert progress.refusals == MAX_CAPACITY_REFUSALS
     progress.cancelled = True
     dispatcher_under_test._should_retry(progress, FULL)
