--- a/src/cranklane/cli/client.py
+++ b/src/cranklane/cli/client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the operator interface; tries control processes until one responds as leader."""
+"""HTTP client of the operator API; tries control processes until one responds as leader."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 """Rounds of calls to all control processes before giving up; with the delay between rounds, they
 last longer than an election."""
 
-ROUND_SECONDS = 0.6
+ROUND_DELAY_SECONDS = 0.6
 """Delay between two rounds."""
 
 
 @dataclass(frozen=True)
 class OperatorProblem:
-    """Error of a failed call to the operator interface.
+    """Error of a failed call to the operator API.
 
     :ivar status: HTTP status, or 0 without a valid response.
     :ivar lines: error messages for the operator.
@@ -62,7 +62,7 @@
         problem = OperatorProblem(0, ["expected at least one control address, found none"])
         for round_number in range(MAX_ROUNDS):
             if round_number:
-                gevent.sleep(ROUND_SECONDS)
+                gevent.sleep(ROUND_DELAY_SECONDS)
             for control in self._controls:
                 result = self._call_one(control, method, path, media)
                 if not isinstance(result, Err):
--- a/src/cranklane/cli/common.py
+++ b/src/cranklane/cli/common.py
@@ -10,7 +10,10 @@
 from cranklane.cli.client import OperatorClient, OperatorProblem
 
 Control = Annotated[
-    str, typer.Option(envvar="CRANKLANE_CONTROL", help="comma-separated host:port of control")
+    str,
+    typer.Option(
+        envvar="CRANKLANE_CONTROL", help="host:port of each control process, comma-separated"
+    ),
 ]
 Token = Annotated[str, typer.Option(envvar="CRANKLANE_TOKEN", help="operator token")]
 
@@ -23,7 +26,7 @@
 
 
 def call(control: str, token: str, method: str, path: str, media: Any = None) -> dict[str, Any]:
-    """Call the HTTP interface for operators and return the response's JSON.
+    """Call the operator API and return the response's JSON.
 
     :param control: ``host:port`` of each process to try, separated by commas.
     :raises typer.Exit: when the call fails; its errors are printed.
--- a/src/cranklane/cli/daemon.py
+++ b/src/cranklane/cli/daemon.py
@@ -55,6 +55,7 @@
 
 
 def _kinds(command: str) -> tuple[Any, Any]:
+    """Return the classes of a daemon and its settings; imports only that daemon's modules."""
     if command == "control":
         from cranklane.control.process import ControlProcess, ControlSettings
 
--- a/src/cranklane/common/http_client.py
+++ b/src/cranklane/common/http_client.py
@@ -15,8 +15,8 @@
 from cranklane.errors import TruncatedAnswerError
 from cranklane.runtime.interface import Address, Runtime, format_address
 
-CONNECT_SECONDS = 1.0
-"""Connection time-out."""
+CONNECT_TIMEOUT_SECONDS = 1.0
+"""Connection timeout."""
 
 DEFAULT_CONCURRENCY = 64
 """Maximum number of concurrent requests to one server."""
@@ -98,7 +98,7 @@
         ]
 
     @property
-    def whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether the last byte of the response has been received."""
         return bool(self._response.message_complete)
 
@@ -131,7 +131,7 @@
     def __init__(
         self, runtime: Runtime, address: Address, concurrency: int = DEFAULT_CONCURRENCY
     ) -> None:
-        self._pool = _Pool(runtime, address, concurrency, CONNECT_SECONDS)
+        self._pool = _Pool(runtime, address, concurrency, CONNECT_TIMEOUT_SECONDS)
         self._host = format_address(address)
 
     def connect(self) -> Any:
--- a/src/cranklane/common/http_server.py
+++ b/src/cranklane/common/http_server.py
@@ -18,8 +18,8 @@
 MAX_CONNECTIONS = 10_000
 """Maximum number of open connections; further ones are closed on accept."""
 
-IDLE_SECONDS = 60.0
-"""Time-out for reads and writes on a connection; longer than clients keep idle ones."""
+IDLE_TIMEOUT_SECONDS = 60.0
+"""Timeout for reads and writes on a connection; longer than clients keep idle ones."""
 
 
 class _Handler(WSGIHandler):
@@ -108,7 +108,7 @@
             connection.close()
             return
         self.connections += 1
-        connection.settimeout(IDLE_SECONDS)
+        connection.settimeout(IDLE_TIMEOUT_SECONDS)
         try:
             self._server.handle(connection, address)
         finally:
--- a/src/cranklane/common/line_queue.py
+++ b/src/cranklane/common/line_queue.py
@@ -13,7 +13,7 @@
 QUEUE_LINES = 4000
 """Maximum number of queued lines; the oldest are dropped beyond it."""
 
-FLUSH_SECONDS = 0.5
+FLUSH_DELAY_SECONDS = 0.5
 """Delay before a write; batches lines, as each wake-up costs more than many lines."""
 
 WRITE_BYTES = 64 * 1024
@@ -45,7 +45,7 @@
 
     def _flush(self) -> None:
         while self._lines or self._partial:
-            gevent.sleep(FLUSH_SECONDS)
+            gevent.sleep(FLUSH_DELAY_SECONDS)
             self.write_now()
         self._flushing = False
 
--- a/src/cranklane/common/small_http.py
+++ b/src/cranklane/common/small_http.py
@@ -24,11 +24,11 @@
 MAX_BODY_BYTES = 256 * 1024
 """Maximum size of a request body; a larger one closes the connection."""
 
-IDLE_SECONDS = 30.0
-"""Idle time-out of a connection; longer than the interval of metric scrapes."""
+IDLE_TIMEOUT_SECONDS = 30.0
+"""Idle timeout of a connection; longer than the interval of metric scrapes."""
 
-READ_SECONDS = 5.0
-"""Time-out for the head of a request, and for each receive of its body."""
+READ_TIMEOUT_SECONDS = 5.0
+"""Timeout for the head of a request, and for each receive of its body."""
 
 
 class SmallAnswer(NamedTuple):
@@ -63,10 +63,10 @@
             stream.close()
 
     def _serve(self, stream: Any, reader: RequestReader) -> bool:
-        head = reader.next_head(IDLE_SECONDS, READ_SECONDS, self._runtime.monotonic)
+        head = reader.next_head(IDLE_TIMEOUT_SECONDS, READ_TIMEOUT_SECONDS, self._runtime.monotonic)
         if head is None:
             return False
-        stream.settimeout(READ_SECONDS)
+        stream.settimeout(READ_TIMEOUT_SECONDS)
         body = b""
         while data := reader.next_piece():
             body += data
--- a/src/cranklane/control/backup.py
+++ b/src/cranklane/control/backup.py
@@ -1,4 +1,4 @@
-"""Back-ups of the configuration: created by a leader, inspected and restored offline.
+"""Backups of the configuration: created by a leader, inspected and restored offline.
 
 Owns the format: a checksum and a LogSnapshot. Inspection and restoration work on the files of a
 stopped process, with the same code as the process itself.
@@ -20,16 +20,16 @@
 
 REVISIONS_SKIPPED = 1_000_000
 """Revisions that a restored group skips. Exceeds the number of edits that may have been accepted
-after the back-up, so that no node has a later revision."""
+after the backup, so that no node has a later revision."""
 
 
 @dataclass(frozen=True)
 class Inspection:
-    """Contents of a back-up or a data folder.
+    """Contents of a backup or a data folder.
 
     :ivar entries: number of log entries after the snapshot; some may not be committed.
     :ivar edits: number of edits among these entries.
-    :ivar torn_bytes: bytes of an incomplete last write that were cut from the log.
+    :ivar torn_bytes: bytes of a torn tail that were truncated from the log.
     :ivar documents: (name, version) of each document, sorted by name.
     """
 
@@ -45,30 +45,30 @@
 
 
 def create(replica: Replica) -> bytes:
-    """Return a back-up of a leader's applied state, with its checksum."""
+    """Return a backup of a leader's applied state, with its checksum."""
     return add_checksum(replica.snapshot().pack())
 
 
 def decode(data: bytes) -> LogSnapshot:
-    """Return the snapshot in a back-up.
+    """Return the snapshot in a backup.
 
-    :raises CorruptedLogError: when the back-up is corrupted.
+    :raises CorruptedLogError: when the backup is corrupted.
     """
     payload = verified_payload(data)
     if payload is None:
-        raise CorruptedLogError("the back-up is corrupted: its checksum does not match")
+        raise CorruptedLogError("the backup is corrupted: its checksum does not match")
     try:
         snapshot = LogSnapshot.unpack(payload)
         StoreState.unpack(snapshot.state)
     except MalformedRecordError as error:
-        raise CorruptedLogError(f"the back-up is corrupted: {error}") from error
+        raise CorruptedLogError(f"the backup is corrupted: {error}") from error
     return snapshot
 
 
 def inspect_backup(data: bytes) -> Inspection:
-    """Return the contents of a back-up.
+    """Return the contents of a backup.
 
-    :raises CorruptedLogError: when the back-up is corrupted.
+    :raises CorruptedLogError: when the backup is corrupted.
     """
     snapshot = decode(data)
     return _inspection(snapshot, snapshot.index, [], 0)
@@ -77,7 +77,7 @@
 def inspect_folder(storage: Storage) -> Inspection:
     """Return the contents of a stopped process's data folder.
 
-    Cuts an incomplete last write from the log, as the process does when it starts.
+    Truncates a torn tail of the log, as the process does when it starts.
 
     :raises CorruptedLogError: when the log or the vote file is corrupted, or the vote file is
         missing.
@@ -87,7 +87,7 @@
     if storage.read(VOTE_FILE) is not None:
         VoteFile(storage).open(Random(), has_log=True)
     elif log.last_index:
-        raise CorruptedLogError("the vote file is missing, but the log has entries")
+        raise CorruptedLogError("found a log but no vote file")
     entries = log.between(log.snapshot.index + 1, log.last_index)
     edits = [EditCommand.unpack(entry.data) for entry in entries if entry.kind == EntryKind.COMMAND]
     return _inspection(log.snapshot, log.last_index, edits, torn, len(entries))
@@ -115,13 +115,13 @@
 
 
 def restore(storage: Storage, data: bytes) -> LogSnapshot:
-    """Write a back-up into an empty data folder.
+    """Write a backup into an empty data folder.
 
-    A process started on this folder as the founder forms a new group with the back-up's state.
-    Skips ``REVISIONS_SKIPPED`` revisions, so that nodes with edits newer than the back-up
+    A process started on this folder as the founder forms a new group with the backup's state.
+    Skips ``REVISIONS_SKIPPED`` revisions, so that nodes with edits newer than the backup
     replace their whole configuration.
 
-    :raises CorruptedLogError: when the back-up is corrupted.
+    :raises CorruptedLogError: when the backup is corrupted.
     :raises FileExistsError: when the folder is not empty.
     """
     snapshot = decode(data)
--- a/src/cranklane/control/operator_api.py
+++ b/src/cranklane/control/operator_api.py
@@ -35,7 +35,7 @@
 
 
 class OperatorApi:
-    """WSGI application for documents, status, replicas and back-ups.
+    """WSGI application for documents, status, replicas and backups.
 
     :param clock: returns monotonic seconds.
     :param operators: operators with access.
@@ -190,7 +190,7 @@
             self._write_change_result(response, self._changes.promote(name, voter))
 
     def on_get_snapshot(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Return a back-up of the configuration, in base64."""
+        """Return a backup of the configuration, in base64."""
         self._require_all_tenants(request)
         if self._check_leader(response):
             data = backup.create(self._replica)
@@ -235,7 +235,7 @@
         HTTPStatus.CONFLICT,
         "too few of the remaining voters respond; add a voter first",
     ),
-    ChangeFailure.NOT_KNOWN: (
+    ChangeFailure.OUTCOME_UNKNOWN: (
         HTTPStatus.SERVICE_UNAVAILABLE,
         "it is unknown whether the change was committed; check the list of replicas",
     ),
--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -17,7 +17,7 @@
 from cranklane.control.store import ConfigurationStore
 from cranklane.distribution.group_contact import NodeServiceTiming
 from cranklane.distribution.node_service import NodeService
-from cranklane.distribution.publisher import SILENT_SECONDS
+from cranklane.distribution.publisher import IDLE_TIMEOUT_SECONDS
 from cranklane.records.messages import Hello
 from cranklane.replication.joining import Joining
 from cranklane.replication.membership_change import MembershipChange
@@ -81,11 +81,9 @@
         ADDRESSES_OR_NONE, [], help="listen addresses of the other control processes"
     )
     founder: bool = setting(
-        YES_OR_NO, False, help="form a new group when every replica listed belongs to none"
-    )
-    voter: bool = setting(
-        YES_OR_NO, True, help="vote; otherwise replicate and serve nodes as a learner"
+        YES_OR_NO, False, help="create the group if all replicas report that it does not exist"
     )
+    voter: bool = setting(YES_OR_NO, True, help="join as a voter; otherwise as a learner")
 
 
 class ControlProcess:
@@ -108,7 +106,9 @@
         )
         self.changes = MembershipChange(self.replica)
         peers = PeerService(self.replica, self.changes.join)
-        self._port = PortDispatcher(peers, self._make_hello, self._nodes.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(
+            peers, self._make_hello, self._nodes.serve, IDLE_TIMEOUT_SECONDS
+        )
         self.editor = Editor(runtime, self.store, self.replica)
 
     def start(self) -> None:
--- a/src/cranklane/control/status.py
+++ b/src/cranklane/control/status.py
@@ -85,7 +85,7 @@
         }
 
     def nodes_behind(self, version: int) -> list[str]:
-        """Return the names of live nodes with a version below the given one."""
+        """Return the names of present nodes with a version below the given one."""
         membership = self._nodes.membership
         return sorted(
             member.node
--- a/src/cranklane/controller/confirmation.py
+++ b/src/cranklane/controller/confirmation.py
@@ -2,7 +2,7 @@
 
 A leader's state is current while it holds its lease. A follower asks the leader for its commit
 index; once the follower has applied that index, its state is as recent as the request. The age
-is counted from the request, because entries may be committed while the response is under way.
+is counted from the request, because entries may be committed while the response is in flight.
 Owns the latest responses; log and leadership belong to the replica.
 """
 
--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -22,7 +22,7 @@
 from cranklane.controller.tenant_usage import FleetCount
 from cranklane.distribution.group_contact import NodeServiceTiming
 from cranklane.distribution.node_service import NodeService
-from cranklane.distribution.publisher import SILENT_SECONDS
+from cranklane.distribution.publisher import IDLE_TIMEOUT_SECONDS
 from cranklane.records.messages import Hello
 from cranklane.replication.group_bootstrap import GroupBootstrap
 from cranklane.replication.membership_change import MembershipChange
@@ -67,9 +67,9 @@
     listen: str = setting(ADDRESS, help="address for nodes and other controllers")
     http: str = setting(ADDRESS, help="address for operators")
     data: str = setting(TEXT, help="data folder")
-    seeds: list[str] = setting(ADDRESSES, help="operators' addresses of some controllers")
+    seeds: list[str] = setting(ADDRESSES, help="addresses of the operator API of some controllers")
     peer_port: int = setting(
-        whole_number(1, 65535), help="port at which controllers listen for each other"
+        whole_number(1, 65535), help="port on which controllers listen for each other"
     )
     first_start: bool = setting(
         YES_OR_NO, False, help="first start of the whole system, with empty disks"
@@ -82,9 +82,9 @@
         0.0,
         help="requests by which a tenant may exceed its limit in a window, over the whole fleet",
     )
-    metrics: str = setting(OPTIONAL_ADDRESS, "", help="address of /metrics; empty for no metrics")
+    metrics: str = setting(OPTIONAL_ADDRESS, "", help="address of /metrics; empty: disabled")
     advertise: str = setting(
-        OPTIONAL_ADDRESS, "", help="address that others connect to, if not the listen address"
+        OPTIONAL_ADDRESS, "", help="address announced to other processes, if it differs from listen"
     )
 
 
@@ -113,7 +113,9 @@
         voters = 2 * settings.tolerated_losses + 1
         self.changes = MembershipChange(self.replica, voters)
         peers = PeerService(self.replica, self.changes.join)
-        self._port = PortDispatcher(peers, self._make_hello, self._nodes.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(
+            peers, self._make_hello, self._nodes.serve, IDLE_TIMEOUT_SECONDS
+        )
         self.editor = RouteEditor(self.store, self.replica, voters)
 
     def _make_replica(self) -> Replica:
@@ -204,7 +206,7 @@
 
     def _fleet_count(self) -> FleetCount:
         """Return the number of known sidecars and of those that report usage to this process."""
-        reporting = self.publisher.active_since(self.runtime.monotonic() - REPORTING_SECONDS)
+        reporting = self.publisher.count_active_since(self.runtime.monotonic() - REPORTING_SECONDS)
         return FleetCount(len(self.membership), reporting)
 
     def _seed_addresses(self) -> list[str]:
--- a/src/cranklane/controller/route_editor.py
+++ b/src/cranklane/controller/route_editor.py
@@ -53,14 +53,12 @@
     def replace(self, data: bytes) -> Result[int, TableRefusal]:
         """Commit a document and return its version."""
         if not self._replica.may_read:
-            return Err(
-                TableRefusal(RefusalKind.NOT_LEADING, ["this process does not lead the group"])
-            )
+            return Err(TableRefusal(RefusalKind.NOT_LEADING, ["this process is not the leader"]))
         read_result = self._read_command(data)
         if isinstance(read_result, Err):
             return read_result
         command = read_result.ok_value
-        expected_result = self._store.judge(command)
+        expected_result = self._store.expected_result(command)
         if expected_result is not TableResult.ACCEPTED:
             if not self._replica.may_read:
                 # The lease has expired, so another leader may have a newer table.
--- a/src/cranklane/controller/route_store.py
+++ b/src/cranklane/controller/route_store.py
@@ -64,8 +64,8 @@
         """Return whether a table with this digest was ever accepted."""
         return digest in self._accepted_versions
 
-    def judge(self, command: RouteTableCommand) -> TableResult:
-        """Return the result that a command would have now."""
+    def expected_result(self, command: RouteTableCommand) -> TableResult:
+        """Return the result of a command if it were applied now."""
         if self.was_accepted(command.digest):
             return TableResult.ACCEPTED
         if command.base != self.version:
@@ -77,7 +77,7 @@
     def apply(self, data: bytes) -> TableResult:
         """Apply a committed RouteTableCommand and return its result."""
         command = RouteTableCommand.unpack(data)
-        result = self.judge(command)
+        result = self.expected_result(command)
         if result is TableResult.ACCEPTED and not self.was_accepted(command.digest):
             self.revision += 1
             self.version = command.version
--- a/src/cranklane/controller/tenant_usage.py
+++ b/src/cranklane/controller/tenant_usage.py
@@ -16,7 +16,7 @@
 
 TOTALS_TTL_SECONDS = 2.5
 """Time without totals after which another controller's sidecars count as not reporting. Totals
-arrive at least every ``member_exchange.REPORT_SECONDS`` (1 s), so two may be late."""
+arrive at least every ``member_exchange.REPORT_INTERVAL_SECONDS`` (1 s), so two may be late."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/cranklane/distribution/follower.py
+++ b/src/cranklane/distribution/follower.py
@@ -12,9 +12,9 @@
 """Interval of heartbeats to control; three fit into the member's lease
 (``membership.LEASE_SECONDS``)."""
 
-CONTROL_SILENT_SECONDS = 5.0
+CONTROL_IDLE_TIMEOUT_SECONDS = 5.0
 """Time without received bytes after which a control process is lost; two pings
-(``publisher.PING_SECONDS``) may be late."""
+(``publisher.PING_INTERVAL_SECONDS``) may be late."""
 
 
 class AdoptedConfiguration(Protocol):
@@ -38,7 +38,7 @@
     """
 
     heartbeat: float = HEARTBEAT_SECONDS
-    silent: float = CONTROL_SILENT_SECONDS
+    silent: float = CONTROL_IDLE_TIMEOUT_SECONDS
     max_backoff: float = MAX_BACKOFF_SECONDS
     raises_incarnation: bool = False
 
--- a/src/cranklane/distribution/group_contact.py
+++ b/src/cranklane/distribution/group_contact.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cranklane.distribution.publisher import PING_SECONDS
+from cranklane.distribution.publisher import PING_INTERVAL_SECONDS
 
 
 @dataclass(frozen=True)
@@ -28,7 +28,7 @@
     last_resort_stay: float
     contact_check: float
     expiry_check: float
-    ping: float = PING_SECONDS
+    ping: float = PING_INTERVAL_SECONDS
 
 
 class GroupContact:
--- a/src/cranklane/distribution/member_exchange.py
+++ b/src/cranklane/distribution/member_exchange.py
@@ -19,19 +19,19 @@
 from cranklane.records.messages import Hello, MemberReport, ReplicaMember, UsageTotals
 from cranklane.runtime.interface import Runtime, parse_address
 
-REPORT_SECONDS = 1.0
-"""Interval of reports without changes; several fit into ``SILENT_SECONDS``."""
+REPORT_INTERVAL_SECONDS = 1.0
+"""Interval of reports without changes; several fit into ``IDLE_TIMEOUT_SECONDS``."""
 
-SILENT_SECONDS = 5.0
+IDLE_TIMEOUT_SECONDS = 5.0
 """Time without received bytes after which a connection to a control process is lost."""
 
-MERGE_SECONDS = 0.05
+MERGE_DELAY_SECONDS = 0.05
 """Delay after a report that merges further changes into the next one."""
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 """Connect timeout."""
 
-RETRY_SECONDS = 0.5
+RETRY_DELAY_SECONDS = 0.5
 """Mean delay before a failed connection is reopened, and interval of checks for new control
 processes."""
 
@@ -40,7 +40,7 @@
     """Sends reports to other control processes and receives theirs.
 
     :param other_controls: returns the other control processes.
-    :param hello: returns this process's greeting.
+    :param hello: returns this process's Hello record.
     :ivar sidecars: provides and receives totals of tenant usage, None without sidecars.
     """
 
@@ -70,7 +70,7 @@
                 if replica.address not in self._wakeups:
                     self._wakeups[replica.address] = Event()
                     self._runtime.spawn(self._keep_reporting, replica.address)
-            gevent.sleep(RETRY_SECONDS)
+            gevent.sleep(RETRY_DELAY_SECONDS)
 
     def _is_member(self, address: str) -> bool:
         return any(replica.address == address for replica in self._other_controls())
@@ -81,13 +81,13 @@
                 self._report(address)
             except (OSError, ConnectionLostError, MalformedRecordError):
                 # The next connection starts with a complete report.
-                gevent.sleep(RETRY_SECONDS * (0.5 + self._runtime.random.random()))
+                gevent.sleep(RETRY_DELAY_SECONDS * (0.5 + self._runtime.random.random()))
         del self._wakeups[address]
 
     def _report(self, address: str) -> None:
         """Report on one connection until it fails or the process leaves the group."""
-        connection = self._runtime.connect(parse_address(address), CONNECT_SECONDS)
-        records = RecordConnection(connection, SILENT_SECONDS)
+        connection = self._runtime.connect(parse_address(address), CONNECT_TIMEOUT_SECONDS)
+        records = RecordConnection(connection, IDLE_TIMEOUT_SECONDS)
         wakeup = self._wakeups[address]
         position = usage_position = 0
         reported_at = -math.inf
@@ -97,21 +97,25 @@
                 wakeup.clear()
                 report, position = self._membership.report_since(position)
                 now = self._runtime.monotonic()
-                if report.members or report.versions or now - reported_at >= REPORT_SECONDS:
+                if (
+                    report.members
+                    or report.versions
+                    or now - reported_at >= REPORT_INTERVAL_SECONDS
+                ):
                     reported_at = now
                     records.queue(report)
                 if self.sidecars is not None:
                     records.queue(self.sidecars.totals_since(usage_position))
                     usage_position = self.sidecars.usage_position
                 records.flush()
-                wakeup.wait(REPORT_SECONDS)
-                gevent.sleep(MERGE_SECONDS)
+                wakeup.wait(REPORT_INTERVAL_SECONDS)
+                gevent.sleep(MERGE_DELAY_SECONDS)
         finally:
             records.close()
 
     def serve(self, records: RecordConnection, first: MemberReport) -> None:
         """Receive the reports of another control process until its connection closes."""
-        records.set_idle_timeout(SILENT_SECONDS)
+        records.set_idle_timeout(IDLE_TIMEOUT_SECONDS)
         self._membership.apply_report(first)
         try:
             while True:
--- a/src/cranklane/distribution/node_service.py
+++ b/src/cranklane/distribution/node_service.py
@@ -27,7 +27,7 @@
     """Members and subscribers of one control process.
 
     :param source: store of the published configuration.
-    :param hello: returns this process's greeting.
+    :param hello: returns this process's Hello record.
     :param sends_replicas: whether subscribers get the addresses of other control processes.
     :ivar membership: members of the fleet.
     :ivar publisher: serves the subscribers.
@@ -93,8 +93,8 @@
         return self._replica.members.current if self._replica is not None else []
 
     def _other_controls(self) -> list[ReplicaMember]:
-        own_identity = self._replica.identity if self._replica is not None else 0
-        return [item for item in self._members() if item.identity != own_identity]
+        local_identity = self._replica.identity if self._replica is not None else 0
+        return [item for item in self._members() if item.identity != local_identity]
 
     def _replica_addresses(self) -> list[str]:
         return sorted(item.address for item in self._members())
--- a/src/cranklane/distribution/publisher.py
+++ b/src/cranklane/distribution/publisher.py
@@ -21,17 +21,17 @@
 from cranklane.records.messages import Heartbeat, IncarnationKnown, Ping, Subscribe, UsageReport
 from cranklane.runtime.interface import Runtime
 
-SILENT_SECONDS = 6.0
+IDLE_TIMEOUT_SECONDS = 6.0
 """Time without received bytes after which a subscriber is lost: three heartbeat intervals, as for
 a member's lease."""
 
-MERGE_SECONDS = 0.05
+MERGE_DELAY_SECONDS = 0.05
 """Delay that merges changes before they are sent, so that many simultaneous joins are one record
 for each subscriber."""
 
-PING_SECONDS = 2.0
+PING_INTERVAL_SECONDS = 2.0
 """Interval of pings to a subscriber without updates; two fit into
-``follower.CONTROL_SILENT_SECONDS``."""
+``follower.CONTROL_IDLE_TIMEOUT_SECONDS``."""
 
 
 class Publisher:
@@ -49,7 +49,7 @@
         source: RowSource,
         membership: Membership,
         replicas: Callable[[], list[str]] | None = None,
-        ping_seconds: float = PING_SECONDS,
+        ping_seconds: float = PING_INTERVAL_SECONDS,
     ) -> None:
         self._ping_seconds = ping_seconds
         self._runtime = runtime
@@ -66,13 +66,13 @@
         self._updates.sidecars = sidecars
 
     def changed(self) -> None:
-        """Send updates to subscribers after a delay of ``MERGE_SECONDS``."""
+        """Send updates to subscribers after a delay of ``MERGE_DELAY_SECONDS``."""
         self._changed.set()
 
     def _wake_subscribers(self) -> None:
         while True:
             self._changed.wait()
-            gevent.sleep(MERGE_SECONDS)
+            gevent.sleep(MERGE_DELAY_SECONDS)
             self._changed.clear()
             self.wake()
 
@@ -115,7 +115,7 @@
                     f"{type(message).__name__} is not expected from a subscriber"
                 )
 
-    def active_since(self, moment: float) -> int:
+    def count_active_since(self, moment: float) -> int:
         """Return the number of subscribers that sent a record since a monotonic second."""
         return sum(item.last_record_at >= moment for item in self.subscribers.values())
 
--- a/src/cranklane/distribution/reconnect.py
+++ b/src/cranklane/distribution/reconnect.py
@@ -8,7 +8,7 @@
 from random import Random
 
 CONNECT_SECONDS = 1.0
-"""Longest connect timeout."""
+"""Longest connect timeout, in later rounds."""
 
 FIRST_CONNECT_SECONDS = 0.25
 """Connect timeout in the first round, doubled in each further one. Short, so that unreachable
@@ -18,14 +18,14 @@
 """Mean pause after the first round, doubled after each further one."""
 
 MAX_BACKOFF_SECONDS = 3.0
-"""Longest mean pause between rounds; spreads many followers that reconnect at once."""
+"""Longest mean pause between rounds; spreads many subscribers that reconnect at once."""
 
 
 class Reconnect:
-    """Connect timeout and backoff of one follower.
+    """Connect timeout and backoff of one subscriber.
 
     :param max_backoff: longest mean pause, in seconds.
-    :ivar connect_seconds: current connect timeout.
+    :ivar connect_seconds: current connect timeout, in seconds.
     """
 
     def __init__(self, max_backoff: float = MAX_BACKOFF_SECONDS) -> None:
@@ -34,7 +34,7 @@
         self.connect_seconds = FIRST_CONNECT_SECONDS
 
     def reset(self) -> None:
-        """Reset timeout and backoff after a control process served this follower."""
+        """Reset timeout and backoff after a control process served this subscriber."""
         self._backoff = MIN_BACKOFF_SECONDS
         self.connect_seconds = FIRST_CONNECT_SECONDS
 
@@ -52,7 +52,7 @@
     def next_pause(self, random: Random) -> float:
         """Return a random pause before the next round, in seconds, and double the mean.
 
-        Pauses vary by up to half of the mean, so that followers do not reconnect all at once.
+        Pauses vary by up to half of the mean, so that subscribers do not reconnect all at once.
         """
         seconds = self._backoff * (0.5 + random.random())
         self._backoff = min(self._max_backoff, self._backoff * 2)
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -143,7 +143,7 @@
             while True:
                 self._receive(records)
         except (ConnectionLostError, MalformedRecordError) as error:
-            return self._lost(records, error)
+            return self._close_lost_connection(records, error)
 
     def _renew_identity(self) -> None:
         """Update session, version and state in the identity for a new connection."""
@@ -272,8 +272,8 @@
         if self._records is not None:
             self._records.close()
 
-    def _lost(self, records: RecordConnection, error: Exception) -> bool:
-        """Clean up after a lost connection; return whether the control process served."""
+    def _close_lost_connection(self, records: RecordConnection, error: Exception) -> bool:
+        """Close a lost connection; return whether the control process served."""
         records.close()
         self._closed_bytes_received += records.bytes_received
         if self._records is records:
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -31,7 +31,7 @@
     setting,
 )
 
-SILENT_SECONDS = 10.0
+IDLE_TIMEOUT_SECONDS = 10.0
 """Seconds without a byte after which a connection from a node or replica counts as lost. Longer
 than a node keeps an idle connection (cranklane.node.ledger_client.IDLE_TIMEOUT_SECONDS)."""
 
@@ -77,7 +77,7 @@
         changes = MembershipChange(self.replica)
         self.service = LedgerService(runtime, self.replica)
         peers = PeerService(self.replica, changes.join)
-        self._port = PortDispatcher(peers, self._hello, self.service.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._hello, self.service.serve, IDLE_TIMEOUT_SECONDS)
 
     def start(self) -> None:
         """Restore the stored state, open the port, join the group and subscribe to control."""
--- a/src/cranklane/node/answer_stream.py
+++ b/src/cranklane/node/answer_stream.py
@@ -60,7 +60,7 @@
         for data in body:
             call.wait_for_window(len(data))
             call.queue(AnswerBody(sequence, data))
-            if not response.whole:
+            if not response.is_complete:
                 call.send_queued()
             sequence += 1
             length += len(data)
--- a/src/cranklane/node/attempt.py
+++ b/src/cranklane/node/attempt.py
@@ -33,7 +33,7 @@
 _MEMBER_FAULTS = frozenset(
     {Reason.PEER_LOST, Reason.PEER_UNREACHABLE, Reason.WORKER_UNREACHABLE, Reason.DEADLINE_PASSED}
 )
-"""Refusal reasons that count as failures of the member."""
+"""Reasons of an attempt without an answer that count as failures of the member."""
 
 
 @dataclass(slots=True)
--- a/src/cranklane/node/inbound.py
+++ b/src/cranklane/node/inbound.py
@@ -19,7 +19,7 @@
 from cranklane.node.inbound_call import InboundCall
 from cranklane.node.load import load_report
 from cranklane.node.metrics import NodeMetrics
-from cranklane.node.peer_connection import PING_SECONDS, SILENT_SECONDS
+from cranklane.node.peer_connection import IDLE_TIMEOUT_SECONDS, PING_INTERVAL_SECONDS
 from cranklane.outcome import Criticality, Reason
 from cranklane.policy.adopted_policy import AdoptedPolicy
 from cranklane.records.connection import CONNECTION_CALL, IdleMonitor, RecordConnection
@@ -61,25 +61,27 @@
         self._hello = hello
         self._on_newer_version = on_newer_version
         self._connections: dict[int, RecordConnection] = {}
-        self._watches: dict[int, IdleMonitor] = {}
+        self._idle_monitors: dict[int, IdleMonitor] = {}
         self._next_connection = 0
         self.calls = 0
-        runtime.spawn(self._watch_silence)
+        runtime.spawn(self._close_idle_connections)
 
-    def _watch_silence(self) -> None:
+    def _close_idle_connections(self) -> None:
         while True:
-            gevent.sleep(PING_SECONDS)
+            gevent.sleep(PING_INTERVAL_SECONDS)
             now = self._runtime.monotonic()
-            for watch in list(self._watches.values()):
-                watch.close_if_idle(now)
+            for monitor in list(self._idle_monitors.values()):
+                monitor.close_if_idle(now)
 
     def serve_connection(self, connection: Any, _address: Address) -> None:
         """Serve one node's connection until it ends."""
-        records = RecordConnection(connection, SILENT_SECONDS)
+        records = RecordConnection(connection, IDLE_TIMEOUT_SECONDS)
         self._next_connection += 1
         number = self._next_connection
         self._connections[number] = records
-        self._watches[number] = IdleMonitor(records, SILENT_SECONDS, self._runtime.monotonic())
+        self._idle_monitors[number] = IdleMonitor(
+            records, IDLE_TIMEOUT_SECONDS, self._runtime.monotonic()
+        )
         calls: dict[int, InboundCall] = {}
         try:
             records.handshake(self._hello())
@@ -95,7 +97,7 @@
         finally:
             records.close()
             del self._connections[number]
-            del self._watches[number]
+            del self._idle_monitors[number]
             for call in list(calls.values()):
                 call.cancel(Reason.CANCELLED)
 
--- a/src/cranklane/node/ledger_client.py
+++ b/src/cranklane/node/ledger_client.py
@@ -36,7 +36,7 @@
 
 IDLE_TIMEOUT_SECONDS = 9.0
 """Seconds without a record after which a connection is closed; just before the ledger closes
-it (cranklane.ledger.process.SILENT_SECONDS)."""
+it (cranklane.ledger.process.IDLE_TIMEOUT_SECONDS)."""
 
 
 @dataclass(frozen=True)
--- a/src/cranklane/node/once.py
+++ b/src/cranklane/node/once.py
@@ -22,8 +22,8 @@
 from cranklane.records.messages import CallOpen, LedgerBegin, LedgerFinish, LedgerGrant
 from cranklane.runtime.interface import Runtime
 
-BEGIN_TIMEOUT_SECONDS = 1.5
-"""Longest wait for the ledger's decision in seconds; longer than a leader election."""
+LEDGER_TIMEOUT_SECONDS = 1.5
+"""Longest wait for the answer to a ledger request in seconds; longer than a leader election."""
 
 LEASE_SECONDS = 3.0
 """Seconds from the request to the ledger until the call must have been sent to the worker.
@@ -127,7 +127,7 @@
             self.runtime.monotonic() + LEASE_SECONDS,
         )
         request = _begin_request(lease, remaining)
-        granted = self._client.begin(lease.group, request, min(BEGIN_TIMEOUT_SECONDS, remaining))
+        granted = self._client.begin(lease.group, request, min(LEDGER_TIMEOUT_SECONDS, remaining))
         if isinstance(granted, Err):
             return Err(self._unavailable(lease, granted.err_value.not_run))
         return _grant_result(lease, granted.ok_value)
@@ -146,7 +146,7 @@
         self.pending_stores += 1
         try:
             while self.runtime.monotonic() < deadline:
-                done = self._client.finish(group, request, BEGIN_TIMEOUT_SECONDS)
+                done = self._client.finish(group, request, LEDGER_TIMEOUT_SECONDS)
                 # Keep trying to delete a missing entry: the delayed request to create it may
                 # still arrive.
                 if done is not None and (done.stored or request.outcome != Outcome.NOT_RUN):
--- a/src/cranklane/node/peer_call.py
+++ b/src/cranklane/node/peer_call.py
@@ -95,7 +95,7 @@
         if isinstance(received, Exception):
             raise received
         if not isinstance(received, AnswerHead):
-            raise ConnectionLostError(f"{type(received).__name__} received instead of AnswerHead")
+            raise ConnectionLostError(f"found {type(received).__name__}; expected AnswerHead")
         return received
 
     def body(self, stall_timeout: float) -> Iterator[bytes]:
--- a/src/cranklane/node/peer_connection.py
+++ b/src/cranklane/node/peer_connection.py
@@ -24,10 +24,10 @@
 )
 from cranklane.runtime.interface import Address, Runtime
 
-PING_SECONDS = 1.0
+PING_INTERVAL_SECONDS = 1.0
 """Seconds between pings on a connection; each is answered with a load report."""
 
-SILENT_SECONDS = 3.0
+IDLE_TIMEOUT_SECONDS = 3.0
 """Seconds without a byte after which a connection counts as lost; several pings long."""
 
 
@@ -48,7 +48,7 @@
     ) -> None:
         connection = runtime.connect(address, connect_timeout)
         self._runtime = runtime
-        self._records = RecordConnection(connection, SILENT_SECONDS)
+        self._records = RecordConnection(connection, IDLE_TIMEOUT_SECONDS)
         self.peer = self._records.handshake(hello)
         self._records.set_idle_timeout(None)
         self._calls: dict[int, PeerCall] = {}
@@ -122,11 +122,11 @@
             call.deliver(ConnectionLostError(str(error)))
 
     def _ping(self) -> None:
-        watch = IdleMonitor(self._records, SILENT_SECONDS, self._runtime.monotonic())
+        monitor = IdleMonitor(self._records, IDLE_TIMEOUT_SECONDS, self._runtime.monotonic())
         while not self._records.closed:
             self.send_quietly(Ping(self._version()), CONNECTION_CALL)
-            gevent.sleep(PING_SECONDS)
-            watch.close_if_idle(self._runtime.monotonic())
+            gevent.sleep(PING_INTERVAL_SECONDS)
+            monitor.close_if_idle(self._runtime.monotonic())
 
     def close(self) -> None:
         """Close the connection, which fails its calls with ConnectionLostError."""
--- a/src/cranklane/node/settings.py
+++ b/src/cranklane/node/settings.py
@@ -20,7 +20,7 @@
 class NodeSettings:
     """Settings of a node, or of an edge if ``service`` is empty."""
 
-    name: str = setting(NAME, help="name of this node, unique in the fleet")
+    name: str = setting(NAME, help="name of this process, unique in the fleet")
     zone: str = setting(NAME, help="zone of this machine")
     controls: list[str] = setting(ADDRESSES, help="addresses of the control processes")
     http: str = setting(ADDRESS, help="address for callers")
@@ -33,7 +33,7 @@
     stop_seconds: float = setting(
         seconds(0, 86_400),
         300.0,
-        help="longest wait of a planned stop for calls in flight, in seconds",
+        help="maximum wait for calls in flight at a planned stop, in seconds",
     )
 
     @property
--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -144,11 +144,11 @@
         """
         _, message = self.receive()
         if not isinstance(message, kind):
-            raise MalformedRecordError(f"{kind.__name__} expected, {type(message).__name__} found")
+            raise MalformedRecordError(f"found {type(message).__name__}; expected {kind.__name__}")
         return message
 
     def set_idle_timeout(self, seconds: float | None) -> None:
-        """Set the idle time-out in seconds; None disables it."""
+        """Set the idle timeout in seconds; None disables it."""
         if seconds != self.idle_timeout:
             self.idle_timeout = seconds
             self._connection.settimeout(seconds)
@@ -185,7 +185,7 @@
 def _check_protocol(peer: Hello) -> None:
     if peer.protocol != PROTOCOL_VERSION:
         raise MalformedRecordError(
-            f"found protocol version {peer.protocol}, expected {PROTOCOL_VERSION}"
+            f"found protocol version {peer.protocol}; expected {PROTOCOL_VERSION}"
         )
 
 
@@ -204,7 +204,7 @@
         self._changed_at = now
 
     def close_if_idle(self, now: float) -> None:
-        """Close the connection if its time-out has expired."""
+        """Close the connection if its timeout has expired."""
         if self._records.bytes_received != self._bytes:
             self._bytes = self._records.bytes_received
             self._changed_at = now
--- a/src/cranklane/records/messages.py
+++ b/src/cranklane/records/messages.py
@@ -2352,7 +2352,7 @@
 
 
 class JoinRequest(Record):
-    """Request of a replica with an empty data folder to join its group."""
+    """Request of a replica to join its group, also after its removal."""
 
     KIND: ClassVar[int] = 74
     LAYOUT: ClassVar[Struct] = Struct("!Q?HHH")
--- a/src/cranklane/records/schema.py
+++ b/src/cranklane/records/schema.py
@@ -333,7 +333,7 @@
     Record(
         74,
         "JoinRequest",
-        "Request of a replica with an empty data folder to join its group.",
+        "Request of a replica to join its group, also after its removal.",
         "identity:u64 voter:bool name:str address:str http:str",
     ),
     Record(
--- a/src/cranklane/replication/election.py
+++ b/src/cranklane/replication/election.py
@@ -65,7 +65,7 @@
         self.restart_timer()
 
     def has_leased_leader(self) -> bool:
-        """Return whether a leader with a lease sent a heartbeat within ``ELECTION_SECONDS``."""
+        """Return whether a leased leader sent a heartbeat within the shortest election timeout."""
         heartbeat_at = self._leased_heartbeat_at
         now = self._state.runtime.monotonic()
         return heartbeat_at is not None and now - heartbeat_at < ELECTION_SECONDS
@@ -117,8 +117,8 @@
                 gevent.sleep(CANDIDACY_STAGGER_SECONDS * self._candidacy_rank())
             if state.leader or not state.is_voter:
                 return
-            own_or_lost = former in (state.identity, self.disk_lost_leader)
-            if former and own_or_lost and not self._try_campaign():
+            self_or_lost = former in (state.identity, self.disk_lost_leader)
+            if former and self_or_lost and not self._try_campaign():
                 return
             gevent.sleep(CAMPAIGN_RETRY_SECONDS)
 
--- a/src/cranklane/replication/group_bootstrap.py
+++ b/src/cranklane/replication/group_bootstrap.py
@@ -17,7 +17,7 @@
 from cranklane.replication.membership_change import JoinStatus
 from cranklane.replication.replica import Replica
 
-RETRY_SECONDS = 0.25
+RETRY_DELAY_SECONDS = 0.25
 """Mean delay between rounds of join requests; delays vary randomly by up to half of it."""
 
 REPLY_SECONDS = 2.0
@@ -52,7 +52,7 @@
         while True:
             if not self._is_connected_member():
                 self._send_join_requests()
-            gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
+            gevent.sleep(RETRY_DELAY_SECONDS * (0.5 + replica.runtime.random.random()))
 
     def _is_founder(self) -> bool:
         """Return whether this replica founds the group.
--- a/src/cranklane/replication/joining.py
+++ b/src/cranklane/replication/joining.py
@@ -13,12 +13,12 @@
 from cranklane.replication.membership_change import JoinStatus
 from cranklane.replication.replica import Replica
 
-RETRY_SECONDS = 0.5
+RETRY_DELAY_SECONDS = 0.5
 """Mean delay between rounds of join requests; delays vary randomly by up to half of it."""
 
 REPLY_SECONDS = 6.0
-"""Timeout of a join request; above ``PROPOSAL_SECONDS``, because the leader replies after the
-membership change is committed."""
+"""Timeout of a join request; above ``PROPOSAL_SECONDS``, because the leader replies after
+the membership change is committed."""
 
 
 class Joining:
@@ -47,7 +47,7 @@
             if not waiting:
                 waiting = True
                 replica.event_log.info("waiting_for_group", group=replica.info.group)
-            gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
+            gevent.sleep(RETRY_DELAY_SECONDS * (0.5 + replica.runtime.random.random()))
         replica.event_log.info("joined_group", group=replica.info.group, name=replica.info.name)
 
     def _send_join_requests(self) -> bool:
--- a/src/cranklane/replication/leadership.py
+++ b/src/cranklane/replication/leadership.py
@@ -25,7 +25,7 @@
     LEASE_SECONDS,
     REPLICATION_RETRY_SECONDS,
     REPLY_SECONDS,
-    SNAPSHOT_REPLY_SECONDS,
+    SNAPSHOT_REPLY_TIMEOUT_SECONDS,
 )
 
 MAX_BATCH_ENTRIES = 256
@@ -168,7 +168,7 @@
                 self.term, state.identity, snapshot.index, offset, len(data), chunk_data
             )
             sent_at = state.runtime.monotonic()
-            reply = link.call(chunk, SnapshotReply, SNAPSHOT_REPLY_SECONDS)
+            reply = link.call(chunk, SnapshotReply, SNAPSHOT_REPLY_TIMEOUT_SECONDS)
             if reply is None or not self._is_valid_reply(link, member, reply.term):
                 return None
             self._answered_request_sent_at[member.identity] = sent_at
--- a/src/cranklane/replication/link.py
+++ b/src/cranklane/replication/link.py
@@ -14,7 +14,7 @@
 from cranklane.records.messages import Message, ReplicaHello
 from cranklane.runtime.interface import Runtime, parse_address
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 """Connect timeout, limited by the timeout of the request."""
 
 _Reply = TypeVar("_Reply")
@@ -82,13 +82,13 @@
 
     def _connected(self, timeout: float) -> RecordConnection:
         if self._records is None:
-            connection = self._runtime.connect(self._address, min(CONNECT_SECONDS, timeout))
+            connection = self._runtime.connect(self._address, min(CONNECT_TIMEOUT_SECONDS, timeout))
             self._records = RecordConnection(connection, timeout)
             self._records.send(self._local_hello)
             hello = self._records.expect(ReplicaHello)
             if hello.group != self._local_hello.group:
                 raise MalformedRecordError(
-                    f"found group {hello.group}, expected {self._local_hello.group}"
+                    f"found group {hello.group}; expected {self._local_hello.group}"
                 )
             self.peer_identity = hello.identity
         self._records.set_idle_timeout(timeout)
--- a/src/cranklane/replication/log.py
+++ b/src/cranklane/replication/log.py
@@ -54,7 +54,7 @@
             self._add_entry(frame.entry)
         torn = len(data) - position
         if torn:
-            self._raise_if_damaged(data, position)
+            self._raise_if_corrupted(data, position)
             self._storage.truncate(LOG_FILE, position)
         self._size = self._synced_size = position
         return torn
@@ -69,7 +69,7 @@
         if entry.index != self.last_index + 1:
             raise CorruptedLogError(
                 f"found entry {entry.index} after entry {self.last_index}; entries are missing; "
-                "restore this replica with an empty data folder so that it rejoins as a new one"
+                "start this replica with an empty data folder so that it rejoins as a new one"
             )
         self._entries.append(entry)
 
@@ -80,21 +80,21 @@
         payload = verified_payload(data)
         if payload is None:
             raise CorruptedLogError(
-                "the snapshot file is corrupted; restore this replica with an empty data folder so "
-                "that it rejoins as a new one, or from a back-up when it is the only one"
+                "the snapshot file is corrupted; start this replica with an empty data folder so "
+                "that it rejoins as a new one, or restore a backup when it is the only one"
             )
         self.snapshot = LogSnapshot.unpack(payload)
         self.snapshot_size = len(data)
 
     @staticmethod
-    def _raise_if_damaged(data: bytes, position: int) -> None:
+    def _raise_if_corrupted(data: bytes, position: int) -> None:
         """Raise CorruptedLogError unless the invalid frame at ``position`` starts a torn tail."""
         synced_offset = find_later_synced_offset(data, position)
         if synced_offset is not None:
             raise CorruptedLogError(
                 f"the log is corrupted at byte {position}, below the synced offset "
-                f"{synced_offset}; restore this replica with an empty data folder so that it "
-                "rejoins as a new one, or from a back-up when it is the only one"
+                f"{synced_offset}; start this replica with an empty data folder so that it "
+                "rejoins as a new one, or restore a backup when it is the only one"
             )
 
     @property
--- a/src/cranklane/replication/membership_change.py
+++ b/src/cranklane/replication/membership_change.py
@@ -53,7 +53,7 @@
     UNKNOWN_NAME = 3
     QUORUM_AT_RISK = 4
     """The remaining voters that are alive would not be a quorum."""
-    NOT_KNOWN = 5
+    OUTCOME_UNKNOWN = 5
     """The change may have been committed; check the members before a retry."""
 
 
@@ -196,7 +196,7 @@
             # One change at a time, and only after an entry of this term is committed.
             return Err(ChangeFailure.BUSY)
         done = replica.propose(ReplicaSet(members).pack(), EntryKind.MEMBERS)
-        return Err(ChangeFailure.NOT_KNOWN) if isinstance(done, Err) else Ok(None)
+        return Err(ChangeFailure.OUTCOME_UNKNOWN) if isinstance(done, Err) else Ok(None)
 
 
 def keeps_quorum(
--- a/src/cranklane/replication/peer_service.py
+++ b/src/cranklane/replication/peer_service.py
@@ -45,7 +45,7 @@
     def serve(self, records: RecordConnection, hello: ReplicaHello) -> None:
         """Serve the requests of one replica until its connection closes.
 
-        :param hello: the greeting that the replica sent.
+        :param hello: the first record that the replica sent.
         """
         try:
             records.send(self._replica.hello())
--- a/src/cranklane/replication/port_dispatcher.py
+++ b/src/cranklane/replication/port_dispatcher.py
@@ -19,9 +19,9 @@
     """Dispatches each accepted connection by its first record.
 
     :param peers: serves connections of other replicas.
-    :param hello: returns the greeting to other clients.
-    :param serve: serves another client's connection after the greetings.
-    :param silent_after: seconds without received bytes after which a connection is lost.
+    :param hello: returns the Hello record for other clients.
+    :param serve: serves another client's connection after the handshake.
+    :param idle_timeout: seconds without received bytes after which a connection is lost.
     """
 
     def __init__(
@@ -29,16 +29,16 @@
         peers: PeerService,
         hello: Callable[[], Hello],
         serve: Callable[[RecordConnection], None],
-        silent_after: float,
+        idle_timeout: float,
     ) -> None:
         self._peers = peers
         self._hello = hello
         self._serve = serve
-        self._silent_after = silent_after
+        self._idle_timeout = idle_timeout
 
     def accept(self, connection: Any, _address: Address) -> None:
         """Serve an accepted connection until it closes."""
-        records = RecordConnection(connection, self._silent_after)
+        records = RecordConnection(connection, self._idle_timeout)
         try:
             _, first = records.receive()
             if isinstance(first, ReplicaHello):
@@ -46,7 +46,7 @@
                 return
             if not isinstance(first, Hello):
                 raise MalformedRecordError(
-                    f"{type(first).__name__} as the first record; expected ReplicaHello or Hello"
+                    f"found {type(first).__name__} as first record; expected ReplicaHello or Hello"
                 )
             records.accept_handshake(first, self._hello())
             self._serve(records)
--- a/src/cranklane/replication/replica.py
+++ b/src/cranklane/replication/replica.py
@@ -96,7 +96,7 @@
     def found_group(self) -> None:
         """Create a group with this replica as its only member.
 
-        The data folder must be empty or contain only a restored back-up.
+        The data folder must be empty or contain only a restored backup.
 
         :raises OSError: when a write fails.
         """
--- a/src/cranklane/replication/state.py
+++ b/src/cranklane/replication/state.py
@@ -100,7 +100,7 @@
         return self.members.find(self.leader) if self.leader else None
 
     def hello(self) -> ReplicaHello:
-        """Return the greeting to other replicas."""
+        """Return the first record of a connection to another replica."""
         return ReplicaHello(self.identity, self.info.group, self.info.name)
 
     def link(self, member: ReplicaMember) -> ReplicaLink:
--- a/src/cranklane/replication/timing.py
+++ b/src/cranklane/replication/timing.py
@@ -10,12 +10,13 @@
 
 ELECTION_SECONDS = 1.0
 """Shortest election timeout. A replica that heard from its leader within this time grants no
-vote to another candidate. Longer than ``REPLY_SECONDS``, so that one slow reply does not end
-a leadership."""
+vote to another candidate. Longer than ``REPLY_SECONDS``, so that one slow reply does not
+end a leadership."""
 
 LEASE_SECONDS = 0.6
 """Duration of a leader lease, counted from requests that a quorum answered. 1.5 times the lease
-is below ``ELECTION_SECONDS``, which bounds the tolerated difference between clock rates."""
+is below ``ELECTION_SECONDS``, which bounds the tolerated difference between clock
+rates."""
 
 HEARTBEAT_SECONDS = 0.2
 """Interval of requests to a replica that is up to date; three fit into a lease."""
@@ -23,7 +24,7 @@
 REPLY_SECONDS = 0.8
 """Timeout of an append request or heartbeat; below ``ELECTION_SECONDS``."""
 
-SNAPSHOT_REPLY_SECONDS = 5.0
+SNAPSHOT_REPLY_TIMEOUT_SECONDS = 5.0
 """Timeout of a snapshot chunk. The reply to the last chunk follows the write of the whole
 snapshot to disk."""
 
--- a/src/cranklane/replication/vote_file.py
+++ b/src/cranklane/replication/vote_file.py
@@ -40,16 +40,16 @@
         if data is None:
             if has_log:
                 raise CorruptedLogError(
-                    "found a log but no vote file: this replica may have voted; "
-                    "empty the data folder so that it rejoins as a new one"
+                    "found a log but no vote file, so this replica may have voted; "
+                    "start this replica with an empty data folder so that it rejoins as a new one"
                 )
             self._write(VoteState(identity=random.getrandbits(_IDENTITY_BITS) | 1))
             return
         payload = verified_payload(data)
         if payload is None:
             raise CorruptedLogError(
-                "the vote file is corrupted; empty the data folder so that this replica "
-                "rejoins as a new one"
+                "the vote file is corrupted; start this replica with an empty data folder so that "
+                "it rejoins as a new one"
             )
         self.state = VoteState.unpack(payload)
 
--- a/src/cranklane/runtime/interface.py
+++ b/src/cranklane/runtime/interface.py
@@ -23,7 +23,7 @@
         """Send all bytes, blocking while the send buffer is full."""
 
     def settimeout(self, seconds: float | None, /) -> None:
-        """Set the time-out after which a blocking call raises TimeoutError; None disables it."""
+        """Set the timeout after which a blocking call raises TimeoutError; None disables it."""
 
     def makefile(self, mode: str = "rb", buffering: int = -1) -> BinaryIO:
         """Return a file object that reads from the connection."""
@@ -127,7 +127,7 @@
     def enable_ack_timeout(self, connection: Any) -> None:
         """Make a connection fail if the peer stops acknowledging sent data.
 
-        Without this time-out, the kernel would report a peer that has lost power or
+        Without this timeout, the kernel would report a peer that has lost power or
         network only after many minutes.
         """
 
--- a/src/cranklane/runtime/real.py
+++ b/src/cranklane/runtime/real.py
@@ -28,7 +28,7 @@
 _ACK_TIMEOUT_MS = 1500
 """Time for which sent data may stay unacknowledged before the connection fails.
 
-Allows several retransmissions, but is shorter than a follower's wait for its controller.
+Allows several retransmissions, but is shorter than a sidecar's idle timeout for its controller.
 """
 
 _DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
--- a/src/cranklane/runtime/stream.py
+++ b/src/cranklane/runtime/stream.py
@@ -2,8 +2,8 @@
 
 System calls take much of the processor time of a process that serves many small requests.
 gevent's ``recv`` tries to read before data has arrived; its ``sendall`` queries the buffer
-size on each call and measures the time-out on the wall clock, which may step; its waits
-create an exception object for each time-out.
+size on each call and measures the timeout on the wall clock, which may step; its waits
+create an exception object for each timeout.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     def _wait_for_input(self) -> None:
         """Wait until the connection is readable.
 
-        :raises TimeoutError: after the connection's time-out.
+        :raises TimeoutError: after the connection's timeout.
         :raises OSError: if the connection is closed.
         :raises InvariantError: if another task is waiting to read from the connection.
         """
@@ -65,7 +65,7 @@
     def sendall(self, data: bytes, flags: int = 0) -> None:  # type: ignore[override]
         """Send all bytes.
 
-        :raises TimeoutError: if no byte can be sent within the connection's time-out.
+        :raises TimeoutError: if no byte can be sent within the connection's timeout.
         """
         sent = self.send(data, flags)
         if sent == len(data):
