--- a/src/cranklane/controller/confirmation.py
+++ b/src/cranklane/controller/confirmation.py
@@ -20,7 +20,7 @@
 """Interval of a follower's requests to the leader. Adds to the age of a follower's state; below
 the heartbeat interval of sidecars (0.5 s)."""
 
-REPLY_SECONDS = 0.5
+REPLY_TIMEOUT_SECONDS = 0.5
 """Timeout of a request to the leader."""
 
 
@@ -57,7 +57,7 @@
             return
         asked_at = self._clock()
         request = ConfirmRequest(self._replica.term)
-        reply = self._replica.link(leader).call(request, ConfirmReply, REPLY_SECONDS)
+        reply = self._replica.link(leader).call(request, ConfirmReply, REPLY_TIMEOUT_SECONDS)
         if reply is not None and reply.leads:
             self._latest_confirmation = _ConfirmedIndex(asked_at, reply.commit)
 
--- a/src/cranklane/distribution/follower.py
+++ b/src/cranklane/distribution/follower.py
@@ -8,7 +8,7 @@
 from cranklane.distribution.reconnect import MAX_BACKOFF_SECONDS
 from cranklane.records.messages import ConfigDelta, Heartbeat, MemberDelta, Message
 
-HEARTBEAT_SECONDS = 2.0
+HEARTBEAT_INTERVAL_SECONDS = 2.0
 """Interval of heartbeats to control; three fit into the member's lease
 (``membership.LEASE_SECONDS``)."""
 
@@ -37,7 +37,7 @@
         an earlier process whose clock was ahead.
     """
 
-    heartbeat: float = HEARTBEAT_SECONDS
+    heartbeat: float = HEARTBEAT_INTERVAL_SECONDS
     silent: float = CONTROL_IDLE_TIMEOUT_SECONDS
     max_backoff: float = MAX_BACKOFF_SECONDS
     raises_incarnation: bool = False
--- a/src/cranklane/distribution/reconnect.py
+++ b/src/cranklane/distribution/reconnect.py
@@ -7,10 +7,10 @@
 
 from random import Random
 
-CONNECT_SECONDS = 1.0
+MAX_CONNECT_TIMEOUT_SECONDS = 1.0
 """Longest connect timeout, in later rounds."""
 
-FIRST_CONNECT_SECONDS = 0.25
+FIRST_CONNECT_TIMEOUT_SECONDS = 0.25
 """Connect timeout in the first round, doubled in each further one. Short, so that unreachable
 machines do not delay a connection to the next one."""
 
@@ -25,22 +25,22 @@
     """Connect timeout and backoff of one subscriber.
 
     :param max_backoff: longest mean pause, in seconds.
-    :ivar connect_seconds: current connect timeout, in seconds.
+    :ivar connect_timeout: current connect timeout, in seconds.
     """
 
     def __init__(self, max_backoff: float = MAX_BACKOFF_SECONDS) -> None:
         self._max_backoff = max_backoff
         self._backoff = MIN_BACKOFF_SECONDS
-        self.connect_seconds = FIRST_CONNECT_SECONDS
+        self.connect_timeout = FIRST_CONNECT_TIMEOUT_SECONDS
 
     def reset(self) -> None:
         """Reset timeout and backoff after a control process served this subscriber."""
         self._backoff = MIN_BACKOFF_SECONDS
-        self.connect_seconds = FIRST_CONNECT_SECONDS
+        self.connect_timeout = FIRST_CONNECT_TIMEOUT_SECONDS
 
     def end_round(self) -> None:
         """Double the connect timeout for the next round."""
-        self.connect_seconds = min(CONNECT_SECONDS, self.connect_seconds * 2)
+        self.connect_timeout = min(MAX_CONNECT_TIMEOUT_SECONDS, self.connect_timeout * 2)
 
     def accepts_out_of_touch(self) -> bool:
         """Return whether to subscribe to a control process that is out of touch with its group.
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -127,7 +127,7 @@
     def _follow_process(self, address: Address) -> bool:
         """Follow one control process until the connection is lost; return whether it served."""
         try:
-            connection = self._runtime.connect(address, self._reconnect.connect_seconds)
+            connection = self._runtime.connect(address, self._reconnect.connect_timeout)
         except OSError:
             # The next address is tried; ``connected`` shows that no process serves.
             return False
--- a/src/cranklane/replication/election.py
+++ b/src/cranklane/replication/election.py
@@ -16,8 +16,8 @@
     CAMPAIGN_RETRY_SECONDS,
     CANDIDACY_STAGGER_SECONDS,
     DISK_FAILURE_PAUSE_SECONDS,
-    ELECTION_SECONDS,
-    VOTE_SECONDS,
+    MIN_ELECTION_TIMEOUT_SECONDS,
+    VOTE_TIMEOUT_SECONDS,
     election_timeout,
 )
 
@@ -68,7 +68,7 @@
         """Return whether a leased leader sent a heartbeat within the shortest election timeout."""
         heartbeat_at = self._leased_heartbeat_at
         now = self._state.runtime.monotonic()
-        return heartbeat_at is not None and now - heartbeat_at < ELECTION_SECONDS
+        return heartbeat_at is not None and now - heartbeat_at < MIN_ELECTION_TIMEOUT_SECONDS
 
     def restart_timer(self) -> None:
         """Restart the timer with a new random timeout."""
@@ -76,9 +76,9 @@
         self._timeout = election_timeout(self._state.runtime.random)
 
     def was_timer_restarted_recently(self) -> bool:
-        """Return whether the timer was restarted within ``ELECTION_SECONDS``."""
+        """Return whether the timer was restarted within ``MIN_ELECTION_TIMEOUT_SECONDS``."""
         age = self._state.runtime.monotonic() - self._timer_started_at
-        return age < ELECTION_SECONDS
+        return age < MIN_ELECTION_TIMEOUT_SECONDS
 
     def pause(self) -> None:
         """Restart the timer with ``DISK_FAILURE_PAUSE_SECONDS`` added to the timeout."""
@@ -99,18 +99,18 @@
             self.restart_timer()
             if not self._candidate.is_leader and self._state.is_voter:
                 # Without a leader, the restarted timer must not make this replica refuse votes.
-                self._timer_started_at -= ELECTION_SECONDS
+                self._timer_started_at -= MIN_ELECTION_TIMEOUT_SECONDS
                 self._try_campaign()
 
     def replace_former_leader(self) -> None:
         """Start candidacies right after a restart, if the former leader cannot have a lease.
 
         This is the case if the former leader is this replica or has lost its disk. Stops
-        after ``ELECTION_SECONDS`` at the latest, when ordinary elections begin.
+        after ``MIN_ELECTION_TIMEOUT_SECONDS`` at the latest, when ordinary elections begin.
         """
         state = self._state
         former = state.votes.state.voted_for
-        ends_at = state.runtime.monotonic() + ELECTION_SECONDS
+        ends_at = state.runtime.monotonic() + MIN_ELECTION_TIMEOUT_SECONDS
         while state.runtime.monotonic() < ends_at:
             if former != state.identity and self._has_lost_its_disk(former):
                 self.disk_lost_leader = former
@@ -127,7 +127,7 @@
         member = self._state.members.find(identity)
         if member is None:
             return False
-        answering = self._state.link(member).probe_identity(VOTE_SECONDS)
+        answering = self._state.link(member).probe_identity(VOTE_TIMEOUT_SECONDS)
         return answering not in (0, identity)
 
     def _candidacy_rank(self) -> int:
@@ -184,7 +184,7 @@
             state.runtime.spawn(self._request_vote, member, request) for member in other_voters
         ]
         granted = 1
-        for task in gevent.iwait(tasks, timeout=VOTE_SECONDS):
+        for task in gevent.iwait(tasks, timeout=VOTE_TIMEOUT_SECONDS):
             granted += bool(task.value)
             if granted >= state.members.quorum():
                 break
@@ -192,7 +192,7 @@
 
     def _request_vote(self, member: ReplicaMember, request: VoteRequest) -> bool:
         link = self._state.link(member)
-        reply = link.call(request, VoteReply, VOTE_SECONDS)
+        reply = link.call(request, VoteReply, VOTE_TIMEOUT_SECONDS)
         if reply is None or link.peer_identity != member.identity:
             # A replica with another identity at the address is not this voter.
             return False
--- a/src/cranklane/replication/group_bootstrap.py
+++ b/src/cranklane/replication/group_bootstrap.py
@@ -20,7 +20,7 @@
 RETRY_DELAY_SECONDS = 0.25
 """Mean delay between rounds of join requests; delays vary randomly by up to half of it."""
 
-REPLY_SECONDS = 2.0
+REPLY_TIMEOUT_SECONDS = 2.0
 """Timeout of a join request; bounds the delay by an unreachable machine."""
 
 LEADER_CONTACT_TIMEOUT_SECONDS = 2.5
@@ -86,7 +86,7 @@
             if address in tried_addresses:
                 continue
             tried_addresses.add(address)
-            reply = send_join_request(replica, address, voter=True, timeout=REPLY_SECONDS)
+            reply = send_join_request(replica, address, voter=True, timeout=REPLY_TIMEOUT_SECONDS)
             if reply is None:
                 continue
             if reply.status == JoinStatus.NOT_LEADER and reply.leader:
--- a/src/cranklane/replication/joining.py
+++ b/src/cranklane/replication/joining.py
@@ -16,8 +16,8 @@
 RETRY_DELAY_SECONDS = 0.5
 """Mean delay between rounds of join requests; delays vary randomly by up to half of it."""
 
-REPLY_SECONDS = 6.0
-"""Timeout of a join request; above ``PROPOSAL_SECONDS``, because the leader replies after
+REPLY_TIMEOUT_SECONDS = 6.0
+"""Timeout of a join request; above ``PROPOSAL_TIMEOUT_SECONDS``, because the leader replies after
 the membership change is committed."""
 
 
@@ -58,7 +58,7 @@
         while addresses:
             address = addresses.pop(0)
             tried_addresses.add(address)
-            reply = send_join_request(self._replica, address, self._voter, REPLY_SECONDS)
+            reply = send_join_request(self._replica, address, self._voter, REPLY_TIMEOUT_SECONDS)
             if reply is None:
                 continue
             if reply.status == JoinStatus.NO_GROUP:
--- a/src/cranklane/replication/leadership.py
+++ b/src/cranklane/replication/leadership.py
@@ -21,10 +21,10 @@
 from cranklane.replication.link import ReplicaLink
 from cranklane.replication.state import ReplicaState
 from cranklane.replication.timing import (
-    HEARTBEAT_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
     LEASE_SECONDS,
     REPLICATION_RETRY_SECONDS,
-    REPLY_SECONDS,
+    REPLY_TIMEOUT_SECONDS,
     SNAPSHOT_REPLY_TIMEOUT_SECONDS,
 )
 
@@ -108,7 +108,7 @@
                 continue
             next_index = sent
             if next_index > state.log.last_index:
-                wakeup.wait(HEARTBEAT_SECONDS)
+                wakeup.wait(HEARTBEAT_INTERVAL_SECONDS)
         self._replicating_to.discard(member.identity)
 
     def _append_request(self, next_index: int) -> AppendRequest | None:
@@ -139,7 +139,7 @@
             # The entry is compacted: this index makes the task send the snapshot next.
             return self._state.log.snapshot.index
         sent_at = self._state.runtime.monotonic()
-        reply = link.call(request, AppendReply, REPLY_SECONDS)
+        reply = link.call(request, AppendReply, REPLY_TIMEOUT_SECONDS)
         if reply is None or not self._is_valid_reply(link, member, reply.term):
             return None
         self._answered_request_sent_at[member.identity] = sent_at
--- a/src/cranklane/replication/membership_change.py
+++ b/src/cranklane/replication/membership_change.py
@@ -23,7 +23,7 @@
 
 ALIVE_SECONDS = 3.0
 """Longest time since a replica's last reply for which it counts as alive; allows several lost
-replies (``REPLY_SECONDS``)."""
+replies (``REPLY_TIMEOUT_SECONDS``)."""
 
 SILENT_VOTER_SECONDS = 1.5
 """Time without a reply after which a caught-up learner replaces a voter; allows one lost
--- a/src/cranklane/replication/proposals.py
+++ b/src/cranklane/replication/proposals.py
@@ -12,7 +12,7 @@
 
 from cranklane.records.messages import LogEntry
 
-PROPOSAL_SECONDS = 5.0
+PROPOSAL_TIMEOUT_SECONDS = 5.0
 """Timeout of a proposal; longer than an election, so that a proposal survives a short loss of
 the quorum."""
 
@@ -52,9 +52,9 @@
         return proposal
 
     def wait(self, proposal: Proposal) -> Result[Any, ProposalFailure]:
-        """Wait for a proposal; the result is UNKNOWN after ``PROPOSAL_SECONDS``."""
+        """Wait for a proposal; the result is UNKNOWN after ``PROPOSAL_TIMEOUT_SECONDS``."""
         try:
-            return proposal.answer.get(timeout=PROPOSAL_SECONDS)
+            return proposal.answer.get(timeout=PROPOSAL_TIMEOUT_SECONDS)
         except gevent.Timeout:
             return Err(ProposalFailure.UNKNOWN)
         finally:
--- a/src/cranklane/replication/timing.py
+++ b/src/cranklane/replication/timing.py
@@ -8,21 +8,21 @@
 
 from random import Random
 
-ELECTION_SECONDS = 1.0
+MIN_ELECTION_TIMEOUT_SECONDS = 1.0
 """Shortest election timeout. A replica that heard from its leader within this time grants no
-vote to another candidate. Longer than ``REPLY_SECONDS``, so that one slow reply does not
+vote to another candidate. Longer than ``REPLY_TIMEOUT_SECONDS``, so that one slow reply does not
 end a leadership."""
 
 LEASE_SECONDS = 0.6
 """Duration of a leader lease, counted from requests that a quorum answered. 1.5 times the lease
-is below ``ELECTION_SECONDS``, which bounds the tolerated difference between clock
+is below ``MIN_ELECTION_TIMEOUT_SECONDS``, which bounds the tolerated difference between clock
 rates."""
 
-HEARTBEAT_SECONDS = 0.2
+HEARTBEAT_INTERVAL_SECONDS = 0.2
 """Interval of requests to a replica that is up to date; three fit into a lease."""
 
-REPLY_SECONDS = 0.8
-"""Timeout of an append request or heartbeat; below ``ELECTION_SECONDS``."""
+REPLY_TIMEOUT_SECONDS = 0.8
+"""Timeout of an append request or heartbeat; below ``MIN_ELECTION_TIMEOUT_SECONDS``."""
 
 SNAPSHOT_REPLY_TIMEOUT_SECONDS = 5.0
 """Timeout of a snapshot chunk. The reply to the last chunk follows the write of the whole
@@ -31,7 +31,7 @@
 REPLICATION_RETRY_SECONDS = 0.2
 """Delay before a request to a replica that did not reply is retried."""
 
-VOTE_SECONDS = 0.5
+VOTE_TIMEOUT_SECONDS = 0.5
 """Timeout of a vote request; below the range over which election timeouts are spread."""
 
 DISK_FAILURE_PAUSE_SECONDS = 4.0
@@ -49,7 +49,7 @@
 def election_timeout(random: Random) -> float:
     """Return a random election timeout in seconds.
 
-    Timeouts are spread from ``ELECTION_SECONDS`` to twice that, so that simultaneous
+    Timeouts are spread from ``MIN_ELECTION_TIMEOUT_SECONDS`` to twice that, so that simultaneous
     candidacies are rare.
     """
-    return ELECTION_SECONDS * (1 + random.random())
+    return MIN_ELECTION_TIMEOUT_SECONDS * (1 + random.random())
--- a/src/cranklane/replication/voting.py
+++ b/src/cranklane/replication/voting.py
@@ -21,7 +21,7 @@
     :ivar last_index: index of its newest entry.
     :ivar leads: whether the voter is itself a leader.
     :ivar timer_restarted_recently: whether its election timer was restarted within
-        ``ELECTION_SECONDS``, so that it may have replied to a leader in that time.
+        ``MIN_ELECTION_TIMEOUT_SECONDS``, so that it may have replied to a leader in that time.
     """
 
     term: int
--- a/tests/test_proposals.py
+++ b/tests/test_proposals.py
@@ -38,7 +38,7 @@
 
 
 def test_a_proposal_that_times_out_is_unknown_and_removed(monkeypatch):
-    monkeypatch.setattr(proposals_module, "PROPOSAL_SECONDS", 0.01)
+    monkeypatch.setattr(proposals_module, "PROPOSAL_TIMEOUT_SECONDS", 0.01)
     proposals = Proposals()
     late = proposals.add(7, term=2)
     assert proposals.wait(late) == Err(ProposalFailure.UNKNOWN)
--- a/tests/test_reconnect.py
+++ b/tests/test_reconnect.py
@@ -7,9 +7,9 @@
 import pytest
 
 from cranklane.distribution.reconnect import (
-    CONNECT_SECONDS,
-    FIRST_CONNECT_SECONDS,
+    FIRST_CONNECT_TIMEOUT_SECONDS,
     MAX_BACKOFF_SECONDS,
+    MAX_CONNECT_TIMEOUT_SECONDS,
     MIN_BACKOFF_SECONDS,
     Reconnect,
 )
@@ -26,7 +26,7 @@
     """Return (connect timeout, accepts out of touch, pause) of rounds in which none served."""
     results = []
     for _ in range(count):
-        connect = reconnect.connect_seconds
+        connect = reconnect.connect_timeout
         reconnect.end_round()
         results.append(
             (connect, reconnect.accepts_out_of_touch(), reconnect.next_pause(MeanRandom()))
@@ -36,10 +36,10 @@
 
 def test_connect_timeouts_and_pauses_grow_by_round():
     assert rounds(Reconnect(), 4) == [
-        (FIRST_CONNECT_SECONDS, False, pytest.approx(MIN_BACKOFF_SECONDS)),
-        (2 * FIRST_CONNECT_SECONDS, True, pytest.approx(2 * MIN_BACKOFF_SECONDS)),
-        (CONNECT_SECONDS, True, pytest.approx(4 * MIN_BACKOFF_SECONDS)),
-        (CONNECT_SECONDS, True, pytest.approx(8 * MIN_BACKOFF_SECONDS)),
+        (FIRST_CONNECT_TIMEOUT_SECONDS, False, pytest.approx(MIN_BACKOFF_SECONDS)),
+        (2 * FIRST_CONNECT_TIMEOUT_SECONDS, True, pytest.approx(2 * MIN_BACKOFF_SECONDS)),
+        (MAX_CONNECT_TIMEOUT_SECONDS, True, pytest.approx(4 * MIN_BACKOFF_SECONDS)),
+        (MAX_CONNECT_TIMEOUT_SECONDS, True, pytest.approx(8 * MIN_BACKOFF_SECONDS)),
     ]
 
 
--- a/tests/test_replication_rules.py
+++ b/tests/test_replication_rules.py
@@ -10,7 +10,7 @@
 from cranklane.records.messages import ReplicaMember, VoteRequest
 from cranklane.replication import applier, group_bootstrap, membership_change, timing, voting
 from cranklane.replication.members import quorum_of
-from cranklane.replication.proposals import PROPOSAL_SECONDS
+from cranklane.replication.proposals import PROPOSAL_TIMEOUT_SECONDS
 from cranklane.replication.voting import Voter
 
 VOTER = Voter(
@@ -72,24 +72,32 @@
 
 
 def test_a_lease_expires_before_an_election_despite_clock_rate_drift():
-    assert timing.LEASE_SECONDS * 1.5 < timing.ELECTION_SECONDS
-    assert timing.HEARTBEAT_SECONDS * 3 <= timing.LEASE_SECONDS + 1e-9
-    assert timing.REPLY_SECONDS < timing.ELECTION_SECONDS
-    assert timing.VOTE_SECONDS < timing.ELECTION_SECONDS
+    assert timing.LEASE_SECONDS * 1.5 < timing.MIN_ELECTION_TIMEOUT_SECONDS
+    assert timing.HEARTBEAT_INTERVAL_SECONDS * 3 <= timing.LEASE_SECONDS + 1e-9
+    assert timing.REPLY_TIMEOUT_SECONDS < timing.MIN_ELECTION_TIMEOUT_SECONDS
+    assert timing.VOTE_TIMEOUT_SECONDS < timing.MIN_ELECTION_TIMEOUT_SECONDS
 
 
 def test_election_timeouts_are_spread_up_to_twice_the_shortest():
     random = Random(1)
     timeouts = [timing.election_timeout(random) for _ in range(1000)]
-    assert timing.ELECTION_SECONDS <= min(timeouts) < 1.05 * timing.ELECTION_SECONDS
-    assert 1.95 * timing.ELECTION_SECONDS < max(timeouts) <= 2 * timing.ELECTION_SECONDS
+    assert (
+        timing.MIN_ELECTION_TIMEOUT_SECONDS
+        <= min(timeouts)
+        < 1.05 * timing.MIN_ELECTION_TIMEOUT_SECONDS
+    )
+    assert (
+        1.95 * timing.MIN_ELECTION_TIMEOUT_SECONDS
+        < max(timeouts)
+        <= 2 * timing.MIN_ELECTION_TIMEOUT_SECONDS
+    )
 
 
 def test_timeouts_are_ordered():
-    assert group_bootstrap.LEADER_CONTACT_TIMEOUT_SECONDS > 2 * timing.ELECTION_SECONDS
-    assert timing.DISK_FAILURE_PAUSE_SECONDS >= 4 * timing.ELECTION_SECONDS
-    assert PROPOSAL_SECONDS > 2 * timing.ELECTION_SECONDS
-    assert membership_change.SILENT_VOTER_SECONDS > timing.REPLY_SECONDS
+    assert group_bootstrap.LEADER_CONTACT_TIMEOUT_SECONDS > 2 * timing.MIN_ELECTION_TIMEOUT_SECONDS
+    assert timing.DISK_FAILURE_PAUSE_SECONDS >= 4 * timing.MIN_ELECTION_TIMEOUT_SECONDS
+    assert PROPOSAL_TIMEOUT_SECONDS > 2 * timing.MIN_ELECTION_TIMEOUT_SECONDS
+    assert membership_change.SILENT_VOTER_SECONDS > timing.REPLY_TIMEOUT_SECONDS
     assert membership_change.SILENT_SURPLUS_VOTER_SECONDS > membership_change.SILENT_VOTER_SECONDS
 
 
