--- a/src/cranklane/common/headers.py
+++ b/src/cranklane/common/headers.py
@@ -9,7 +9,7 @@
 from cranklane.common.units import MILLISECONDS
 
 CONTEXT = "Cranklane-Context"
-"""Request token; a worker copies it into the calls that it makes for the request."""
+"""Context token of a call; a worker copies it into its child calls."""
 
 OUTCOME = "Cranklane-Outcome"
 """``answered``, ``not_run`` or ``unknown``; on every response to a caller."""
--- a/src/cranklane/common/http_client.py
+++ b/src/cranklane/common/http_client.py
@@ -24,8 +24,8 @@
 DEFAULT_TIMEOUT_SECONDS = 10.0
 """Seconds without a received byte after which a request without a deadline fails."""
 
-READ_SIZE = 64 * 1024
-"""Buffer size of one receive call, in bytes."""
+RECEIVE_BYTES = 64 * 1024
+"""Buffer size of one receive call."""
 
 _NO_BODY_METHODS = frozenset({"GET", "HEAD", "DELETE"})
 _PARSER_ERRORS = (HTTPParseError, OSError, ValueError)
@@ -66,7 +66,7 @@
             while not self._body_buffer and not self.message_complete:
                 if self._sock is None:
                     raise TruncatedAnswerError("the connection is closed")
-                data = self._sock.recv(READ_SIZE)
+                data = self._sock.recv(RECEIVE_BYTES)
                 if not data:
                     raise TruncatedAnswerError(
                         "the connection ended before the end of the response"
@@ -183,7 +183,7 @@
 
     def _read_head(self, connection: Any, method: str) -> HttpResponse:
         try:
-            response = _Response(connection, self._pool, block_size=READ_SIZE, method=method)
+            response = _Response(connection, self._pool, block_size=RECEIVE_BYTES, method=method)
         except _PARSER_ERRORS as error:
             timed_out = isinstance(error, TimeoutError)
             raise HttpRequestError(str(error), sent=True, timed_out=timed_out) from error
--- a/src/cranklane/control/editor.py
+++ b/src/cranklane/control/editor.py
@@ -43,7 +43,7 @@
 
     :ivar status: HTTP status of the response.
     :ivar not_run: True if the edit has changed nothing; False if that is unknown.
-    :ivar leader: operators' address of the leader, if known and another process.
+    :ivar leader: address of the leader's operator API, if known and another process.
     """
 
     status: HTTPStatus
--- a/src/cranklane/control/process.py
+++ b/src/cranklane/control/process.py
@@ -99,10 +99,10 @@
         )
         self.membership = self._nodes.membership
         self.publisher = self._nodes.publisher
-        identity = ReplicaInfo(GROUP, settings.name, settings.listen, settings.http)
+        info = ReplicaInfo(GROUP, settings.name, settings.listen, settings.http)
         storage = runtime.storage(settings.data)
         self.replica = Replica(
-            runtime, storage, self.store, identity, self.publisher.changed, self._log
+            runtime, storage, self.store, info, self.publisher.changed, self._log
         )
         self.changes = MembershipChange(self.replica)
         peers = PeerService(self.replica, self.changes.join)
--- a/src/cranklane/controller/process.py
+++ b/src/cranklane/controller/process.py
@@ -122,9 +122,9 @@
         settings = self.settings
         # An address belongs to one machine at a time, so it serves as the replica's name.
         address = settings.advertise or settings.listen
-        identity = ReplicaInfo(GROUP, address, address, settings.http)
+        info = ReplicaInfo(GROUP, address, address, settings.http)
         storage = self.runtime.storage(settings.data)
-        return Replica(self.runtime, storage, self.store, identity, self._on_applied, self._log)
+        return Replica(self.runtime, storage, self.store, info, self._on_applied, self._log)
 
     def _make_sidecar_service(self) -> SidecarService:
         quotas = FleetQuotas(
--- a/src/cranklane/distribution/subscriber_updates.py
+++ b/src/cranklane/distribution/subscriber_updates.py
@@ -122,7 +122,7 @@
             subscriber.sent_members = 0
             delta = self._source.delta(0)
         if services is not None:
-            delta.rows = [row for row in delta.rows if _concerns(row, services)]
+            delta.rows = [row for row in delta.rows if _is_relevant_row(row, services)]
         subscriber.records.send(delta)
         subscriber.sent_version = delta.version
 
@@ -157,7 +157,7 @@
         whole = subscriber.sent_members == 0
         changed, position = self._membership.since(subscriber.sent_members)
         subscriber.sent_members = position
-        members = [member for member in changed if _is_relevant(subscriber, member)]
+        members = [member for member in changed if _is_relevant_member(subscriber, member)]
         if not members and not whole:
             return False
         subscriber.records.send(MemberDelta(whole, members))
@@ -172,13 +172,13 @@
         return encode_frame(CONNECTION_CALL, MemberDelta(sent == 0, members))
 
 
-def _is_relevant(subscriber: Subscriber, member: Member) -> bool:
+def _is_relevant_member(subscriber: Subscriber, member: Member) -> bool:
     services = subscriber.sent_services
     if not member.service:
         return False
     return services is None or f"{member.tenant}.{member.service}" in services
 
 
-def _concerns(row: ConfigRow, services: frozenset[str]) -> bool:
+def _is_relevant_row(row: ConfigRow, services: frozenset[str]) -> bool:
     kind, _, rest = row.key.partition("/")
     return kind == "tenant" or rest.replace("/", ".") in services
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -80,7 +80,7 @@
         self._port = PortDispatcher(peers, self._hello, self.service.serve, IDLE_TIMEOUT_SECONDS)
 
     def start(self) -> None:
-        """Restore the stored state, open the port, join the group and subscribe to control."""
+        """Load the stored state, open the port, join the group and subscribe to control."""
         settings = self.settings
         self.replica.open()
         self._listener = self.runtime.listen(parse_address(settings.listen), self._port.accept)
--- a/src/cranklane/node/admission_rule.py
+++ b/src/cranklane/node/admission_rule.py
@@ -53,7 +53,7 @@
 
 
 def is_overloaded(now: float, last_empty: float) -> bool:
-    """Return whether to serve the newest call first, as old ones are close to their deadlines.
+    """Return whether the newest call goes first, because old ones are close to their deadlines.
 
     :param last_empty: monotonic second at which the queue was last empty.
     """
--- a/src/cranklane/policy/adopted_policy.py
+++ b/src/cranklane/policy/adopted_policy.py
@@ -184,7 +184,7 @@
         return row.share if row is not None else 1
 
     def tenant_of(self, digest: str) -> str | None:
-        """Return the tenant that owns a hashed token, or None.
+        """Return the tenant of the token with this digest, or None.
 
         The duration of a lookup depends only on the SHA-256 of the token, which makes timing
         attacks on tokens infeasible.
--- a/src/cranklane/records/connection.py
+++ b/src/cranklane/records/connection.py
@@ -18,15 +18,15 @@
 CONNECTION_CALL = 0
 """Call number of records that concern the connection as a whole."""
 
-MAX_PAYLOAD = 16 * 1024 * 1024
-"""Maximum size of a received record, in bytes."""
+MAX_PAYLOAD_BYTES = 16 * 1024 * 1024
+"""Maximum size of a received record."""
 
 _FRAME_HEAD = Struct("!IHHQ")
 _FRAME_MAGIC = 0xC1A7
 """Magic number in each head; reveals lost frame boundaries to the receiver."""
 
-_RECEIVE_SIZE = 64 * 1024
-"""Buffer size of one receive call, in bytes."""
+_RECEIVE_BYTES = 64 * 1024
+"""Buffer size of one receive call."""
 
 _Expected = TypeVar("_Expected")
 
@@ -113,7 +113,7 @@
         """
         head = self._receive_bytes(_FRAME_HEAD.size)
         size, kind, magic, call = _FRAME_HEAD.unpack(head)
-        if magic != _FRAME_MAGIC or size > MAX_PAYLOAD:
+        if magic != _FRAME_MAGIC or size > MAX_PAYLOAD_BYTES:
             raise MalformedRecordError(f"invalid frame head of kind {kind} with {size} bytes")
         message = MESSAGES.get(kind)
         if message is None:
@@ -123,7 +123,7 @@
     def _receive_bytes(self, size: int) -> bytes:
         while len(self._received) < size:
             try:
-                data = self._connection.recv(_RECEIVE_SIZE)
+                data = self._connection.recv(_RECEIVE_BYTES)
             except OSError as error:
                 self.close()
                 raise ConnectionLostError(str(error)) from error
--- a/src/cranklane/records/messages.py
+++ b/src/cranklane/records/messages.py
@@ -1558,7 +1558,7 @@
 
 
 class TenantRow(Record):
-    """Compiled tenant with its share and the hashes of its tokens."""
+    """Compiled tenant with its share and the digests of its tokens."""
 
     KIND: ClassVar[int] = 40
     LAYOUT: ClassVar[Struct] = Struct("!IHI")
--- a/src/cranklane/records/schema.py
+++ b/src/cranklane/records/schema.py
@@ -231,7 +231,7 @@
     Record(
         40,
         "TenantRow",
-        "Compiled tenant with its share and the hashes of its tokens.",
+        "Compiled tenant with its share and the digests of its tokens.",
         "share:u32 name:str tokens:strings",
     ),
     Record(
--- a/src/cranklane/replication/election.py
+++ b/src/cranklane/replication/election.py
@@ -30,7 +30,7 @@
         """Whether the replica leads its term."""
 
     def begin_term(self) -> bool:
-        """Start a new term with a vote for itself; return False when it is already leader.
+        """Start a new term with a vote for this replica; return False if it already leads.
 
         :raises OSError: when the vote cannot be written.
         """
--- a/src/cranklane/replication/replica.py
+++ b/src/cranklane/replication/replica.py
@@ -200,7 +200,7 @@
             self._handle_disk_failure(error)
 
     def begin_term(self) -> bool:
-        """Start a new term with a vote for itself; return False when it is already leader.
+        """Start a new term with a vote for this replica; return False if it already leads.
 
         The check under the lock keeps a leader's term equal to that of its leadership.
 
--- a/src/cranklane/routes/document.py
+++ b/src/cranklane/routes/document.py
@@ -61,7 +61,7 @@
 """Values of ``repeat`` in a document."""
 
 
-class ProblemError(Exception):
+class DocumentError(Exception):
     """An invalid value in a document; the message names the field."""
 
 
@@ -73,14 +73,14 @@
 
     def __init__(self, path: str, value: Any) -> None:
         if not isinstance(value, dict):
-            raise ProblemError(f"{path}: expected an object")
+            raise DocumentError(f"{path}: expected an object")
         self._path = path
         self._value = value
 
-    def number(self, name: str, minimum: int, maximum: int, default: int | None = None) -> int:
+    def integer(self, name: str, minimum: int, maximum: int, default: int | None = None) -> int:
         value = self._value.get(name, default)
         if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
-            raise ProblemError(
+            raise DocumentError(
                 f"{self._path}.{name}: found {value!r}; "
                 f"expected an integer from {minimum} to {maximum}"
             )
@@ -89,16 +89,18 @@
     def text(self, name: str, default: str | None = None) -> str:
         value = self._value.get(name, default)
         if not isinstance(value, str) or not value:
-            raise ProblemError(f"{self._path}.{name}: found {value!r}; expected a non-empty string")
+            raise DocumentError(
+                f"{self._path}.{name}: found {value!r}; expected a non-empty string"
+            )
         return value
 
-    def amount(self, name: str) -> float:
+    def number(self, name: str) -> float:
         value = self._value.get(name)
         if value is None:
             return 0.0
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
         if not is_number or not 0 <= value <= MAX_INTEGER:
-            raise ProblemError(
+            raise DocumentError(
                 f"{self._path}.{name}: found {value!r}; expected a number of at least 0"
             )
         return float(value)
@@ -106,7 +108,7 @@
     def flag(self, name: str) -> bool:
         value = self._value.get(name, False)
         if not isinstance(value, bool):
-            raise ProblemError(f"{self._path}.{name}: found {value!r}; expected true or false")
+            raise DocumentError(f"{self._path}.{name}: found {value!r}; expected true or false")
         return value
 
     def value(self, name: str) -> Any:
@@ -144,9 +146,9 @@
     limits = Limits()
     version = 0
     try:
-        version = _Fields("document", document).number("version", 1, MAX_INTEGER)
+        version = _Fields("document", document).integer("version", 1, MAX_INTEGER)
         limits = limits_of(document.get("limits", {}))
-    except ProblemError as problem:
+    except DocumentError as problem:
         problems.append(str(problem))
     by_name = {service.name: service for service in services}
     problems += _check_destinations(routes, by_name)
@@ -167,7 +169,7 @@
     for name, value in entries.items():
         try:
             values.append(read(name, value))
-        except ProblemError as problem:
+        except DocumentError as problem:
             problems.append(str(problem))
     return values
 
@@ -175,32 +177,32 @@
 def service_of(name: str, value: Any) -> ServiceEntry:
     """Return one service of a document.
 
-    :raises ProblemError: when a field is invalid.
+    :raises DocumentError: when a field is invalid.
     """
     fields = _Fields(f"services.{name}", value)
     return ServiceEntry(
         name,
         fields.text("health_path", "/"),
-        fields.number("max_connections", 0, MAX_INTEGER, 0),
+        fields.integer("max_connections", 0, MAX_INTEGER, 0),
     )
 
 
 def route_of(name: str, value: Any) -> Route:
     """Return one route of a document.
 
-    :raises ProblemError: when a field is invalid.
+    :raises DocumentError: when a field is invalid.
     """
     path = f"routes.{name}"
     fields = _Fields(path, value)
     repeat = fields.text("repeat")
     if repeat != NOT_IDEMPOTENT and repeat not in IDEMPOTENT:
-        raise ProblemError(f"{path}.repeat: found {repeat!r}; expected safe, unsafe or download")
+        raise DocumentError(f"{path}.repeat: found {repeat!r}; expected safe, unsafe or download")
     prefix = fields.text("prefix")
     if not (prefix.startswith("/") and prefix.endswith("/")):
-        raise ProblemError(
+        raise DocumentError(
             f"{path}.prefix: found {prefix!r}; expected a path that begins and ends with a slash"
         )
-    timeout = fields.number("timeout_ms", 1, MAX_TIMEOUT_MS)
+    timeout = fields.integer("timeout_ms", 1, MAX_TIMEOUT_MS)
     max_objective = timeout + MAX_OBJECTIVE_OVER_TIMEOUT_MS - 1
     return Route(
         name=name,
@@ -208,9 +210,9 @@
         prefix=prefix,
         idempotent=repeat in IDEMPOTENT,
         timeout_ms=timeout,
-        objective_ms=fields.number("objective_ms", 1, max_objective, timeout),
-        priority=fields.number("priority", 0, MAX_PRIORITY, 0),
-        max_attempts=fields.number("max_attempts", 1, MAX_ATTEMPTS),
+        objective_ms=fields.integer("objective_ms", 1, max_objective, timeout),
+        priority=fields.integer("priority", 0, MAX_PRIORITY, 0),
+        max_attempts=fields.integer("max_attempts", 1, MAX_ATTEMPTS),
         shares=_shares(path, fields),
         public=fields.flag("public"),
     )
@@ -221,48 +223,48 @@
     if split is None:
         return (Share(fields.text("service"), 1),)
     if not isinstance(split, list) or not split:
-        raise ProblemError(f"{path}.split: expected a list of service and weight")
+        raise DocumentError(f"{path}.split: expected a list of service and weight")
     shares = []
     for entry in split:
         share_fields = _Fields(f"{path}.split", entry)
         shares.append(
-            Share(share_fields.text("service"), share_fields.number("weight", 0, MAX_INTEGER))
+            Share(share_fields.text("service"), share_fields.integer("weight", 0, MAX_INTEGER))
         )
     if not any(share.weight for share in shares):
-        raise ProblemError(f"{path}.split: expected a weight above 0 for at least one service")
+        raise DocumentError(f"{path}.split: expected a weight above 0 for at least one service")
     return tuple(shares)
 
 
 def limits_of(value: Any) -> Limits:
     """Return the limits of a document.
 
-    :raises ProblemError: when a field is invalid.
+    :raises DocumentError: when a field is invalid.
     """
     fields = _Fields("limits", value)
     default = Limits()
     return Limits(
-        fields.number("max_header_bytes", 1, MAX_INTEGER, default.max_header_bytes),
-        fields.number("max_body_bytes", 0, MAX_INTEGER, default.max_body_bytes),
-        fields.number("header_timeout_ms", 1, MAX_INTEGER, default.header_timeout_ms),
-        fields.number("idle_timeout_ms", 1, MAX_INTEGER, default.idle_timeout_ms),
+        fields.integer("max_header_bytes", 1, MAX_INTEGER, default.max_header_bytes),
+        fields.integer("max_body_bytes", 0, MAX_INTEGER, default.max_body_bytes),
+        fields.integer("header_timeout_ms", 1, MAX_INTEGER, default.header_timeout_ms),
+        fields.integer("idle_timeout_ms", 1, MAX_INTEGER, default.idle_timeout_ms),
     )
 
 
 def tenant_of(name: str, value: Any) -> Tenant:
     """Return one tenant of a document.
 
-    :raises ProblemError: when a field is invalid; the message never contains a key.
+    :raises DocumentError: when a field is invalid; the message never contains a key.
     """
     path = f"tenants.{name}"
     fields = _Fields(path, value)
     keys = fields.value("keys")
     if not isinstance(keys, list) or not all(isinstance(key, str) and key for key in keys):
-        raise ProblemError(f"{path}.keys: expected a list of non-empty strings")
+        raise DocumentError(f"{path}.keys: expected a list of non-empty strings")
     return Tenant(
         name=name,
-        priority=fields.number("priority", 0, MAX_PRIORITY, 0),
-        rate_per_second=fields.amount("rate_per_s"),
-        burst=fields.amount("burst"),
+        priority=fields.integer("priority", 0, MAX_PRIORITY, 0),
+        rate_per_second=fields.number("rate_per_s"),
+        burst=fields.number("burst"),
         key_digests=frozenset(secret_digest(key.encode()) for key in keys),
     )
 
--- a/src/cranklane/routes/rows.py
+++ b/src/cranklane/routes/rows.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from cranklane.records.messages import ConfigRow
-from cranklane.routes.document import ProblemError, limits_of, route_of, service_of, tenant_of
+from cranklane.routes.document import DocumentError, limits_of, route_of, service_of, tenant_of
 from cranklane.routes.table import RouteTable
 from cranklane.routes.tenants import TenantDirectory
 
@@ -62,7 +62,7 @@
     try:
         for row in rows:
             builder.apply(row)
-    except (ProblemError, ValueError) as error:
+    except (DocumentError, ValueError) as error:
         return Err(str(error))
     return Ok(builder.build())
 
@@ -84,7 +84,7 @@
     def apply(self, row: ConfigRow) -> None:
         """Apply one row.
 
-        :raises ProblemError: when its value is not a valid entry.
+        :raises DocumentError: when its value is not a valid entry.
         :raises ValueError: when its value is not JSON.
         """
         kind, _, name = row.key.partition(_SEPARATOR)
