--- a/src/cranklane/distribution/membership.py
+++ b/src/cranklane/distribution/membership.py
@@ -16,7 +16,7 @@
 
 LEASE_SECONDS = 6.0
 """Time without a heartbeat after which a member is silent: three heartbeat intervals
-(``follower.HEARTBEAT_INTERVAL_SECONDS``)."""
+(``subscription_callbacks.HEARTBEAT_INTERVAL_SECONDS``)."""
 
 OWNER_LEASE_SECONDS = 30.0
 """Time without reports of a control process after which its members are silent. Long enough for
--- a/src/cranklane/distribution/publisher.py
+++ b/src/cranklane/distribution/publisher.py
@@ -31,7 +31,7 @@
 
 PING_INTERVAL_SECONDS = 2.0
 """Interval of pings to a subscriber without updates; two fit into
-``follower.CONTROL_IDLE_TIMEOUT_SECONDS``."""
+``subscription_callbacks.CONTROL_IDLE_TIMEOUT_SECONDS``."""
 
 
 class Publisher:
--- a/src/cranklane/distribution/subscription.py
+++ b/src/cranklane/distribution/subscription.py
@@ -13,8 +13,12 @@
 
 from cranklane.common.units import MICROSECONDS
 from cranklane.distribution.configuration_file import ConfigurationFile
-from cranklane.distribution.follower import AdoptedConfiguration, Follower, FollowTiming
 from cranklane.distribution.reconnect import Reconnect
+from cranklane.distribution.subscription_callbacks import (
+    AdoptedConfiguration,
+    SubscriptionCallbacks,
+    SubscriptionTiming,
+)
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import (
@@ -44,7 +48,7 @@
     :param identity: identity of this node; the subscription fills in version and session.
     :param configuration: the adopted configuration, to which deltas are applied.
     :param storage: storage for the adopted configuration, None to save nothing.
-    :param follower: callbacks of the subscribing process.
+    :param callbacks: callbacks of the subscribing process.
     :param log: logger of connection changes.
     :ivar connected: whether a control process serves this node now.
     """
@@ -56,9 +60,9 @@
         identity: Subscribe,
         configuration: AdoptedConfiguration,
         storage: Storage | None,
-        follower: Follower,
+        callbacks: SubscriptionCallbacks,
         log: Any,
-        timing: FollowTiming | None = None,
+        timing: SubscriptionTiming | None = None,
     ) -> None:
         self._runtime = runtime
         self._controls = list(controls)
@@ -66,9 +70,9 @@
         self._configuration = configuration
         self._file = ConfigurationFile(storage) if storage is not None else None
         self._announced: list[Address] = []
-        self._timing = timing or FollowTiming()
+        self._timing = timing or SubscriptionTiming()
         self._reconnect = Reconnect(self._timing.max_backoff)
-        self._follower = follower
+        self._callbacks = callbacks
         self._log = log
         self._records: RecordConnection | None = None
         self._stopped = False
@@ -86,7 +90,7 @@
         """Adopt the saved configuration, if there is one."""
         saved = self._file.load() if self._file is not None else None
         if saved is not None and self._configuration.adopt(saved):
-            self._follower.on_change()
+            self._callbacks.on_change()
 
     def follow(self) -> None:
         """Follow control until :meth:`stop`, with backoff between rounds of attempts."""
@@ -131,7 +135,7 @@
         except OSError:
             # The next address is tried; ``connected`` shows that no process serves.
             return False
-        records = RecordConnection(connection, self._timing.silent)
+        records = RecordConnection(connection, self._timing.idle_timeout)
         try:
             records.handshake(
                 Hello(incarnation=self._identity.incarnation, node=self._identity.node)
@@ -150,7 +154,7 @@
         identity = self._identity
         identity.version = self._configuration.version
         identity.session += 1
-        current_state = self._follower.heartbeat()
+        current_state = self._callbacks.heartbeat()
         identity.state = current_state.state
         identity.slots = current_state.slots
         identity.instance = current_state.instance
@@ -165,11 +169,11 @@
             case ConfigDelta():
                 self._adopt(records, message)
             case MemberDelta():
-                self._follower.on_members(message)
+                self._callbacks.on_members(message)
             case ControlReplicas():
                 self._announced = [parse_address(text) for text in message.addresses]
-            case HeartbeatAnswer() | TenantShares() if self._follower.on_answer is not None:
-                self._follower.on_answer(message)
+            case HeartbeatAnswer() | TenantShares() if self._callbacks.on_answer is not None:
+                self._callbacks.on_answer(message)
             case IncarnationKnown():
                 self._raise_incarnation(message.incarnation)
             case Ping():
@@ -208,14 +212,14 @@
             self._file.save(delta)
         self._configuration.adopt(delta)
         self._newer_version_seen_at = None
-        self._follower.on_change()
+        self._callbacks.on_change()
         records.send(self._heartbeat())
 
     def _heartbeat(self) -> Heartbeat:
-        heartbeat = self._follower.heartbeat()
+        heartbeat = self._callbacks.heartbeat()
         heartbeat.incarnation = self._identity.incarnation
         heartbeat.version = self._configuration.version
-        if self._follower.on_answer is not None:
+        if self._callbacks.on_answer is not None:
             heartbeat.asked_us = int(self._runtime.monotonic() * MICROSECONDS)
         return heartbeat
 
--- a/src/cranklane/distribution/follower.py
+++ b/src/cranklane/distribution/subscription_callbacks.py
@@ -26,11 +26,11 @@
         """Apply a delta; return False when its base is not the current version."""
 
 
-class FollowTiming(NamedTuple):
+class SubscriptionTiming(NamedTuple):
     """Timing of a subscription, in seconds, and its incarnation rule.
 
     :ivar heartbeat: interval of heartbeats to control.
-    :ivar silent: time without received bytes after which a control process is lost.
+    :ivar idle_timeout: time without received bytes after which a control process is lost.
     :ivar max_backoff: longest mean pause between rounds of connection attempts.
     :ivar raises_incarnation: whether the process raises its incarnation when control knows a newer
         one. Set where no other process of its name can be alive, so that the newer one is from
@@ -38,7 +38,7 @@
     """
 
     heartbeat: float = HEARTBEAT_INTERVAL_SECONDS
-    silent: float = CONTROL_IDLE_TIMEOUT_SECONDS
+    idle_timeout: float = CONTROL_IDLE_TIMEOUT_SECONDS
     max_backoff: float = MAX_BACKOFF_SECONDS
     raises_incarnation: bool = False
 
@@ -47,7 +47,7 @@
     """Do nothing."""
 
 
-class Follower(NamedTuple):
+class SubscriptionCallbacks(NamedTuple):
     """Callbacks of a subscription into its process.
 
     :ivar heartbeat: returns the process's state; the subscription fills in incarnation and
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -6,9 +6,9 @@
 
 from cranklane.common.logs import logger
 from cranklane.common.units import MILLISECONDS
-from cranklane.distribution.follower import Follower
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.subscription import Subscription
+from cranklane.distribution.subscription_callbacks import SubscriptionCallbacks
 from cranklane.ledger.service import LedgerService
 from cranklane.ledger.store import LedgerStore
 from cranklane.policy.adopted_policy import AdoptedPolicy
@@ -114,7 +114,7 @@
             identity,
             AdoptedPolicy(),
             self.runtime.storage(f"{settings.data}/{_SUBSCRIPTION_FOLDER}"),
-            Follower(lambda: Heartbeat(state=MemberState.LIVE)),
+            SubscriptionCallbacks(lambda: Heartbeat(state=MemberState.LIVE)),
             self._log,
         )
 
--- a/src/cranklane/node/process.py
+++ b/src/cranklane/node/process.py
@@ -7,9 +7,9 @@
 from cranklane.common.http_server import HttpServer
 from cranklane.common.logs import logger
 from cranklane.common.units import MILLISECONDS
-from cranklane.distribution.follower import Follower
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.subscription import Subscription
+from cranklane.distribution.subscription_callbacks import SubscriptionCallbacks
 from cranklane.node.admin import Admin, AdminView
 from cranklane.node.admission import Admission
 from cranklane.node.attempt import AttemptSender
@@ -171,7 +171,7 @@
             identity,
             self.configuration,
             self._runtime.storage(settings.data),
-            Follower(
+            SubscriptionCallbacks(
                 lambda: Heartbeat(state=self.state()),
                 self._members_changed,
                 self._configuration_changed,
--- a/src/cranklane/sidecar/control_link.py
+++ b/src/cranklane/sidecar/control_link.py
@@ -11,9 +11,9 @@
 
 from cranklane.common.addresses import peer_addresses
 from cranklane.common.units import MICROSECONDS
-from cranklane.distribution.follower import Follower, FollowTiming
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.subscription import Subscription
+from cranklane.distribution.subscription_callbacks import SubscriptionCallbacks, SubscriptionTiming
 from cranklane.records.messages import (
     Heartbeat,
     HeartbeatAnswer,
@@ -33,7 +33,9 @@
 from cranklane.sidecar.table.table_lease import TableLease, TableLeaseLog
 from cranklane.sidecar.worker.condition import WorkerCondition
 
-TIMING = FollowTiming(heartbeat=0.5, silent=1.6, max_backoff=0.8, raises_incarnation=True)
+TIMING = SubscriptionTiming(
+    heartbeat=0.5, idle_timeout=1.6, max_backoff=0.8, raises_incarnation=True
+)
 """Times of the subscription in seconds. Control answers each heartbeat, so a silence of three
 heartbeat intervals means that the connection is lost."""
 
@@ -85,7 +87,9 @@
             own.subscription(),
             state.table,
             None,
-            Follower(self._heartbeat, self._apply_members, on_answer=self._apply_answer),
+            SubscriptionCallbacks(
+                self._heartbeat, self._apply_members, on_answer=self._apply_answer
+            ),
             log,
             TIMING,
         )
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -172,7 +172,7 @@
         assert self._file is not None
         self._file.save(delta)
         self._configuration.adopt(delta)
-        self._follower.on_change()
+        self._callbacks.on_change()
         records.send(self._heartbeat())
 
     original_init = Subscriber.__init__
