--- a/src/cranklane/routes/tenants.py
+++ b/src/cranklane/routes/tenants.py
@@ -33,7 +33,7 @@
 
     >>> shop = Tenant("shop", key_digests=frozenset({secret_digest(b"k1")}))
     >>> directory = TenantDirectory([shop])
-    >>> directory.holder_of(b"k1").name, directory.holder_of(b"k2")
+    >>> directory.find_by_key(b"k1").name, directory.find_by_key(b"k2")
     ('shop', None)
     """
 
@@ -44,6 +44,6 @@
             digest: tenant for tenant in self.by_name.values() for digest in tenant.key_digests
         }
 
-    def holder_of(self, key: bytes) -> Tenant | None:
+    def find_by_key(self, key: bytes) -> Tenant | None:
         """Return the tenant of an API key, or None."""
         return self._by_key.get(secret_digest(key))
--- a/src/cranklane/sidecar/ingress/authentication.py
+++ b/src/cranklane/sidecar/ingress/authentication.py
@@ -99,7 +99,7 @@
             return self._identify_call(request, table, route, run)
         if not self._lease.is_valid:
             return self._refuse(request, Reason.TABLE_STALE, None, retry_after.UNCERTAIN_MS)
-        tenant = table.tenants.holder_of(key)
+        tenant = table.tenants.find_by_key(key)
         if tenant is None:
             return self._refuse(request, Reason.UNAUTHENTICATED, None)
         if not self._quota.admits(tenant):
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -199,7 +199,7 @@
     changed = [ConfigRow(2, key, value) for key, value in {**rows_after, **deleted}.items()]
     first = with_rows(RouteTable(), whole).ok_value
     second = with_rows(first, changed).ok_value
-    assert first.tenants.holder_of(b"key-of-shop").name == "shop"
+    assert first.tenants.find_by_key(b"key-of-shop").name == "shop"
     assert second.tenants.by_name == read_table(after).ok_value.tenants.by_name
     none = with_rows(second, [ConfigRow(3, "keyed", b"")]).ok_value
     assert none.tenants is None
