--- a/src/cranklane/common/line_queue.py
+++ b/src/cranklane/common/line_queue.py
@@ -59,7 +59,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader has gone: the queued lines can no longer be delivered.
+                # The reader has closed the pipe: the queued lines cannot be delivered.
                 self._partial = b""
                 self._lines.clear()
                 return
--- a/src/cranklane/common/small_http.py
+++ b/src/cranklane/common/small_http.py
@@ -57,7 +57,7 @@
             while self._serve(stream, reader):
                 pass
         except (OSError, MalformedMessageError, TruncatedMessageError, HeadTooLargeError):
-            # No response: the caller has gone, timed out or did not send valid HTTP.
+            # No response: the caller disconnected, timed out or sent invalid HTTP.
             pass
         finally:
             stream.close()
--- a/src/cranklane/controller/quota_bucket.py
+++ b/src/cranklane/controller/quota_bucket.py
@@ -92,7 +92,7 @@
     def add(self, usage: TenantUsage) -> None:
         """Add usage since the last step.
 
-        Admitted requests that did not run are left out: their retries are counted instead.
+        Admitted requests that did not run are not counted: their retries are.
         """
         self.offered += usage.offered - usage.returned
         self.used += usage.admitted - usage.returned
--- a/src/cranklane/controller/route_store.py
+++ b/src/cranklane/controller/route_store.py
@@ -65,7 +65,7 @@
         return digest in self._accepted_versions
 
     def expected_result(self, command: RouteTableCommand) -> TableResult:
-        """Return the result of a command if it were applied now."""
+        """Return the result of applying a command now, without applying it."""
         if self.was_accepted(command.digest):
             return TableResult.ACCEPTED
         if command.base != self.version:
--- a/src/cranklane/distribution/member_state.py
+++ b/src/cranklane/distribution/member_state.py
@@ -13,7 +13,7 @@
     GONE = 2
     """The member reported that it stops or that nothing runs there."""
     SILENT = 3
-    """The member's lease expired: it is gone or partitioned from control."""
+    """The member's lease expired: it has crashed or is partitioned from control."""
 
     @property
     def is_present(self) -> bool:
--- a/src/cranklane/node/ejection.py
+++ b/src/cranklane/node/ejection.py
@@ -10,8 +10,8 @@
 from typing import Protocol, TypeVar
 
 EJECT_AFTER_FAILURES = 3
-"""Consecutive failures that eject a member. One faulty call or connection
-usually causes fewer."""
+"""Consecutive failures that eject a member. One faulty call or connection usually causes
+fewer."""
 
 EJECT_SECONDS = 5.0
 """Duration of the first ejection in seconds; each further consecutive failure adds as much.
--- a/src/cranklane/runtime/interface.py
+++ b/src/cranklane/runtime/interface.py
@@ -42,7 +42,7 @@
     address: Address
 
     def close(self) -> None:
-        """Stop accepting; connections already accepted go on."""
+        """Stop accepting; accepted connections stay open."""
 
 
 class Storage(ABC):
--- a/src/cranklane/runtime/real.py
+++ b/src/cranklane/runtime/real.py
@@ -55,7 +55,7 @@
         self._handler(connection, address)
 
     def close(self) -> None:
-        """Stop accepting; connections already accepted go on."""
+        """Stop accepting; accepted connections stay open."""
         # StreamServer.stop would also stop the handlers of open connections.
         self._server.stop_accepting()
         self._server.socket.close()
