--- a/src/cranklane/records/messages.py
+++ b/src/cranklane/records/messages.py
@@ -82,7 +82,7 @@
 
 
 class Ping(Record):
-    """Liveness probe on an idle connection; requests a LoadReport."""
+    """Liveness probe of a connection; a node replies with a LoadReport."""
 
     KIND: ClassVar[int] = 2
     LAYOUT: ClassVar[Struct] = Struct("!Q")
@@ -2546,7 +2546,7 @@
 
 
 class Document(Record):
-    """A document of the settings tree."""
+    """A policy document."""
 
     KIND: ClassVar[int] = 61
     LAYOUT: ClassVar[Struct] = Struct("!QHI")
--- a/src/cranklane/records/schema.py
+++ b/src/cranklane/records/schema.py
@@ -39,7 +39,7 @@
     Record(
         2,
         "Ping",
-        "Liveness probe on an idle connection; requests a LoadReport.",
+        "Liveness probe of a connection; a node replies with a LoadReport.",
         "version:u64",
     ),
     Record(
@@ -351,7 +351,7 @@
         "base:u64 compiled_at:u64 when:f64 document:str operator:str request:str text:text "
         "rows:[ConfigRow]",
     ),
-    Record(61, "Document", "A document of the settings tree.", "version:u64 name:str text:text"),
+    Record(61, "Document", "A policy document.", "version:u64 name:str text:text"),
     Record(
         62,
         "HistoryEntry",
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,8 +1,7 @@
-"""No module imports, by way of others, a module that imports it, and packages know no
-package that builds on them.
+"""Modules have no import cycles, and packages do not import the packages built on them.
 
-Imports for type hints alone (under ``TYPE_CHECKING``) count as well: they show who relies on
-whom.
+Imports only for type hints (under ``TYPE_CHECKING``) count as well, because they are
+dependencies too.
 """
 
 from __future__ import annotations
@@ -13,7 +12,7 @@
 SOURCES = Path(__file__).parent.parent / "src"
 
 PROGRAMS = frozenset({"cli", "control", "controller", "ledger", "node", "sidecar"})
-"""Packages of the programs that run, and of the command line that starts them."""
+"""Packages of the processes and of the command line that starts them."""
 
 FORBIDDEN = {
     "distribution": PROGRAMS,
@@ -23,7 +22,7 @@
     "ledger": frozenset({"node"}),
     "sidecar": frozenset({"node"}),
 }
-"""Packages that a package must import nothing from."""
+"""Packages from which each package must not import."""
 
 
 def modules():
@@ -38,14 +37,14 @@
 
 
 def imports_in(tree):
-    """Yield all import statements, also those under conditions and in functions."""
+    """Yield all import statements, including those in conditions and functions."""
     for statement in ast.walk(tree):
         if isinstance(statement, ast.Import | ast.ImportFrom):
             yield statement
 
 
 def imports_at_load(body):
-    """Yield import statements that run, or serve type hints, when a module is imported."""
+    """Yield import statements that are executed on import or only used for type hints."""
     for statement in body:
         if isinstance(statement, ast.Import | ast.ImportFrom):
             yield statement
@@ -59,7 +58,7 @@
 
 
 def names_imported(statements, known):
-    """Return the known modules that import statements name."""
+    """Return the known modules named in import statements."""
     names = set()
     for statement in statements:
         if isinstance(statement, ast.Import):
@@ -71,17 +70,17 @@
 
 
 def imported_at_load(path, known):
-    """Return the known modules that a module imports when it is imported."""
+    """Return the known modules that a module imports on import."""
     return names_imported(imports_at_load(ast.parse(path.read_text()).body), known)
 
 
 def imported_anywhere(path, known):
-    """Return the known modules that a module imports, also within functions."""
+    """Return the known modules that a module imports anywhere, including in functions."""
     return names_imported(imports_in(ast.parse(path.read_text())), known)
 
 
 def forbidden_imports(imports):
-    """Return (importing module, imported module) for each import that FORBIDDEN names."""
+    """Return (importing module, imported module) for each forbidden import."""
     return [
         (name, other)
         for name, others in sorted(imports.items())
@@ -91,13 +90,13 @@
 
 
 def package_of(name):
-    """Return the product's package that a module is in, or nothing."""
+    """Return the package of cranklane that contains a module, or an empty string."""
     root, _, rest = name.partition(".")
     return rest.partition(".")[0] if root == "cranklane" else ""
 
 
 def cycle_in(imports):
-    """Return the modules of one cycle, or nothing."""
+    """Return the modules of one import cycle; empty without a cycle."""
     done = set()
 
     def visit(name, path):
