--- a/src/cranklane_lab/cost/site.py
+++ b/src/cranklane_lab/cost/site.py
@@ -17,7 +17,7 @@
 
 SLOTS = 64
 KEY = "key-of-the-client"
-START_SECONDS = 15.0
+START_TIMEOUT_SECONDS = 15.0
 CALLER_SIDECAR = 0
 CONTROLLER_HOST = 9
 """Number of the controller's host; sidecars have the first ones."""
@@ -107,7 +107,7 @@
 
     @staticmethod
     def _until(condition: object) -> None:
-        ends_at = time.monotonic() + START_SECONDS
+        ends_at = time.monotonic() + START_TIMEOUT_SECONDS
         while not condition():  # type: ignore[operator]
             if time.monotonic() > ends_at:
                 raise TimeoutError("the processes did not serve in time")
--- a/src/cranklane_lab/fleet/site.py
+++ b/src/cranklane_lab/fleet/site.py
@@ -17,7 +17,7 @@
 from cranklane_lab.standins.client import Client
 
 OPERATOR_TOKEN = "lab-operator"
-START_SECONDS = 30.0
+START_TIMEOUT_SECONDS = 30.0
 
 
 @dataclass
@@ -212,7 +212,7 @@
 
 def wait_for_members(site: Site, count: int) -> bool:
     """Wait until control knows ``count`` nodes; return False when it takes too long."""
-    with gevent.Timeout(START_SECONDS, False):
+    with gevent.Timeout(START_TIMEOUT_SECONDS, False):
         while True:
             result = site.operator().call("GET", "/v1/status")
             if isinstance(result, Ok):
@@ -228,7 +228,7 @@
     deployment = site.deployment
     client = Client(RealRuntime(), site.edge_http, deployment.name, deployment.token)
     try:
-        with gevent.Timeout(START_SECONDS, False):
+        with gevent.Timeout(START_TIMEOUT_SECONDS, False):
             for kind in deployment.requests:
                 while not client.send(kind, "ready", key="ready").good:
                     gevent.sleep(0.1)
--- a/src/cranklane_lab/latency.py
+++ b/src/cranklane_lab/latency.py
@@ -26,7 +26,7 @@
 from cranklane_lab.fleet.site import Site, start_site, wait_for_members
 
 WARM_UP_CALLS = 300
-START_SECONDS = 20.0
+START_TIMEOUT_SECONDS = 20.0
 _MICROSECOND = 1_000_000
 _HIGHEST_US = 60 * _MICROSECOND
 _DIGITS = 3
@@ -93,7 +93,7 @@
         result = operator.call("PUT", f"/v1/documents/{PAIR.name}", media)
         if isinstance(result, Err):
             return "; ".join(result.err_value.lines)
-        until = time.monotonic() + START_SECONDS
+        until = time.monotonic() + START_TIMEOUT_SECONDS
         while not self._works():
             if time.monotonic() >= until:
                 return "calls do not pass"
--- a/src/cranklane_lab/soak/__init__.py
+++ b/src/cranklane_lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak of the real programs as processes on one machine."""
+"""Soak test with random faults; runs the daemons as processes on one machine."""
--- a/src/cranklane_lab/soak/checks.py
+++ b/src/cranklane_lab/soak/checks.py
@@ -1,4 +1,4 @@
-"""The promises of a soak, from what callers, workers and operators see."""
+"""Invariants of a soak run, checked against what callers, workers and operators observe."""
 
 from __future__ import annotations
 
@@ -9,73 +9,83 @@
 from cranklane_lab.standins.raw_http import RawAnswer
 from cranklane_lab.standins.routed_worker import RoutedWorker
 
-KNOWN_SECONDS = 3.0
-"""After the third end under a request, every machine knows of it this much later."""
+QUARANTINE_DELAY_SECONDS = 3.0
+"""Time within which every machine learns that a request crashed its third worker."""
 
-MOST_RUNS_AFTER = 3
-"""Runs of such a request after that."""
+MAX_RUNS_IN_QUARANTINE = 3
+"""Runs allowed for a request once every machine has quarantined it."""
 
 NOT_RUN_STATUS = frozenset({408, 421, 429, 503})
 
 
 @dataclass
 class Observations:
-    """What was seen, and which promises broke.
-
-    :ivar broken: one line for each broken promise.
-    :ivar refused_not_idempotent: ids that were told that they had not run.
+    """Observed responses, reads and runs, and the invariants that they violate.
+
+    :ivar broken: one line per violation.
+    :ivar statuses: number of responses by status; "0" for no response.
+    :ivar refused_non_idempotent: ids of non-idempotent requests refused as not run.
+    :ivar non_idempotent: ids of all non-idempotent requests.
+    :ivar acknowledged_version: newest acknowledged version of the route table.
+    :ivar sent_tables: documents sent by operators, by version.
     """
 
     broken: list[str] = field(default_factory=list)
     statuses: Counter[str] = field(default_factory=Counter)
-    refused_not_idempotent: set[str] = field(default_factory=set)
-    unrepeatable: set[str] = field(default_factory=set)
-    acknowledged: int = 0
-    taken: dict[int, str] = field(default_factory=dict)
+    refused_non_idempotent: set[str] = field(default_factory=set)
+    non_idempotent: set[str] = field(default_factory=set)
+    acknowledged_version: int = 0
+    sent_tables: dict[int, str] = field(default_factory=dict)
 
-    def break_promise(self, text: str) -> None:
-        """Take that a promise broke."""
+    def record_violation(self, text: str) -> None:
+        """Record a violated invariant."""
         self.broken.append(text)
 
-    def answered(self, request: str, idempotent: bool, answer: RawAnswer | None) -> None:
-        """Take what a caller got."""
+    def record_answer(self, request: str, idempotent: bool, answer: RawAnswer | None) -> None:
+        """Record the response to a caller's request; None if the connection ended without one."""
         status = answer.status if answer is not None else 0
         self.statuses[str(status)] += 1
         if not idempotent:
-            self.unrepeatable.add(request)
+            self.non_idempotent.add(request)
             if status in NOT_RUN_STATUS:
-                self.refused_not_idempotent.add(request)
+                self.refused_non_idempotent.add(request)
         if answer is None or status != 200 or not answer.whole:
             return
         if answer.body != f"ran {request}".encode():
-            self.break_promise(f"{request} got another's answer: {answer.body[:80]!r}")
+            self.record_violation(
+                f"{request} received another request's answer: {answer.body[:80]!r}"
+            )
 
-    def read(self, sent_after: int, version: int) -> None:
-        """Take a read of the route table.
+    def record_read(self, acknowledged_before: int, version: int) -> None:
+        """Record a read of the route table.
 
-        :param sent_after: newest version acknowledged before the read was sent.
+        :param acknowledged_before: newest version acknowledged before the read was sent.
         """
-        if version < sent_after:
-            self.break_promise(f"a read gave version {version} after {sent_after} was acknowledged")
+        if version < acknowledged_before:
+            self.record_violation(
+                f"a read returned version {version} after {acknowledged_before} was acknowledged"
+            )
 
-    def check_crashes(self, crashes: list[Crash], workers: list[RoutedWorker]) -> None:
-        """Compare the ends of workers under each request with its later runs."""
+    def check_quarantine(self, crashes: list[Crash], workers: list[RoutedWorker]) -> None:
+        """Check the number of runs of each request after it crashed its third worker."""
         for target in sorted({crash.target for crash in crashes}):
-            ends = [crash.at for crash in crashes if crash.target == target]
-            if len(ends) < 3:
+            crash_times = [crash.at for crash in crashes if crash.target == target]
+            if len(crash_times) < 3:
                 continue
-            known_at = ends[2] + KNOWN_SECONDS
+            quarantined_at = crash_times[2] + QUARANTINE_DELAY_SECONDS
             runs = [run for worker in workers for run in worker.state.runs]
-            later = sum(run.target == target and run.at > known_at for run in runs)
-            if later > MOST_RUNS_AFTER:
-                self.break_promise(f"{target.decode()} ran {later} times after its third end")
+            later_runs = sum(run.target == target and run.at > quarantined_at for run in runs)
+            if later_runs > MAX_RUNS_IN_QUARANTINE:
+                self.record_violation(
+                    f"{target.decode()} ran {later_runs} times after its third crash"
+                )
 
     def check_runs(self, workers: list[RoutedWorker]) -> None:
-        """Compare what workers ran with what callers were told."""
+        """Check that refused requests did not run and non-idempotent ones ran at most once."""
         runs = Counter(run.request for worker in workers for run in worker.state.runs)
-        for request in sorted(self.unrepeatable):
+        for request in sorted(self.non_idempotent):
             if runs[request] > 1:
-                self.break_promise(f"{request} may not be repeated and ran {runs[request]} times")
-        for request in sorted(self.refused_not_idempotent):
+                self.record_violation(f"{request} is not idempotent and ran {runs[request]} times")
+        for request in sorted(self.refused_non_idempotent):
             if runs[request]:
-                self.break_promise(f"{request} was told that it had not run, and ran")
+                self.record_violation(f"{request} was refused as not run, but ran")
--- a/src/cranklane_lab/soak/proxy.py
+++ b/src/cranklane_lab/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, holds back, cuts one way or resets connections."""
+"""TCP proxy that can delay, stall or reset connections."""
 
 from __future__ import annotations
 
@@ -11,99 +11,99 @@
 from gevent import socket
 from gevent.server import StreamServer
 
-PIECE_BYTES = 64 * 1024
-LOOK_SECONDS = 0.02
-CONNECT_SECONDS = 1.0
+CHUNK_BYTES = 64 * 1024
+POLL_SECONDS = 0.02
+CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 class ProxyMode(Enum):
-    """What the proxy does to bytes."""
+    """Treatment of the proxied connections."""
 
     PASS = "pass"
     DELAY = "delay"
-    """Each piece waits for :attr:`Proxy.delay_seconds`."""
+    """Delays each chunk by :attr:`Proxy.delay_seconds`."""
     SILENT = "silent"
-    """Nothing passes either way, and nobody is told."""
+    """Stalls both directions without closing connections."""
     ANSWERS_HELD = "answers_held"
-    """Only what the far end answers is held back."""
+    """Stalls only the data from the target."""
     REFUSE = "refuse"
-    """Connections are reset, and new ones too."""
+    """Resets open and new connections."""
 
 
 class Proxy:
-    """Listens on one address and passes connections on to another."""
+    """Forwards connections from a listening address to a target address."""
 
     def __init__(self, address: tuple[str, int], target: tuple[str, int]) -> None:
         self._target = target
         self._mode = ProxyMode.PASS
-        self._open: set[Any] = set()
+        self._connections: set[Any] = set()
         self.delay_seconds = 0.05
         self._server = StreamServer(address, self._serve)
         self._server.start()
 
-    def set(self, mode: ProxyMode) -> None:
-        """Change what it does, to open connections too."""
+    def set_mode(self, mode: ProxyMode) -> None:
+        """Change the mode, for open connections too."""
         self._mode = mode
         if mode is ProxyMode.REFUSE:
-            for stream in list(self._open):
+            for stream in list(self._connections):
                 _reset(stream)
 
-    def _serve(self, near: Any, _address: Any) -> None:
+    def _serve(self, downstream: Any, _address: Any) -> None:
         if self._mode is ProxyMode.REFUSE:
-            _reset(near)
+            _reset(downstream)
             return
         try:
-            far = socket.create_connection(self._target, CONNECT_SECONDS)
+            upstream = socket.create_connection(self._target, CONNECT_TIMEOUT_SECONDS)
         except OSError:
-            _reset(near)
+            _reset(downstream)
             return
-        far.settimeout(None)
-        for stream in (near, far):
+        upstream.settimeout(None)
+        for stream in (downstream, upstream):
             stream.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._open |= {near, far}
+        self._connections |= {downstream, upstream}
         try:
             tasks = [
-                gevent.spawn(self._pump, near, far, False),
-                gevent.spawn(self._pump, far, near, True),
+                gevent.spawn(self._pump, downstream, upstream, False),
+                gevent.spawn(self._pump, upstream, downstream, True),
             ]
             gevent.joinall(tasks)
         finally:
-            for stream in (near, far):
-                self._open.discard(stream)
+            for stream in (downstream, upstream):
+                self._connections.discard(stream)
                 stream.close()
 
-    def _holds(self, answers: bool) -> bool:
+    def _is_held(self, from_target: bool) -> bool:
         if self._mode is ProxyMode.ANSWERS_HELD:
-            return answers
+            return from_target
         return self._mode is ProxyMode.SILENT
 
-    def _pump(self, source: Any, target: Any, answers: bool) -> None:
+    def _pump(self, source: Any, target: Any, from_target: bool) -> None:
         try:
-            while data := source.recv(PIECE_BYTES):
-                while self._holds(answers):
-                    gevent.sleep(LOOK_SECONDS)
+            while data := source.recv(CHUNK_BYTES):
+                while self._is_held(from_target):
+                    gevent.sleep(POLL_SECONDS)
                 if self._mode is ProxyMode.DELAY:
                     gevent.sleep(self.delay_seconds)
                 target.sendall(data)
-            while self._holds(answers):
-                gevent.sleep(LOOK_SECONDS)
+            while self._is_held(from_target):
+                gevent.sleep(POLL_SECONDS)
             target.shutdown(kernel_socket.SHUT_WR)
         except OSError:
             _reset(source)
             _reset(target)
 
     def close(self) -> None:
-        """Stop, and end every connection."""
+        """Stop listening and reset all connections."""
         self._server.stop()
-        for stream in list(self._open):
+        for stream in list(self._connections):
             _reset(stream)
 
 
 def _reset(stream: Any) -> None:
-    """Close a connection so that its far end sees a reset."""
+    """Close a connection with a TCP reset."""
     try:
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     except OSError:
-        # The far end has closed it already.
+        # The peer has already closed the connection.
         pass
     stream.close()
--- a/src/cranklane_lab/soak/run.py
+++ b/src/cranklane_lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one seed of the soak: load, operators and faults at once, then the checks."""
+"""Runs the soak test: requests, route table changes and faults at once, then the checks."""
 
 from __future__ import annotations
 
@@ -16,21 +16,22 @@
 from cranklane.runtime.real import RealRuntime
 from cranklane_lab.simulation.mesh import HOST, route_table
 from cranklane_lab.soak.checks import Observations
-from cranklane_lab.soak.faults import Faults
+from cranklane_lab.soak.faults import FaultInjector
 from cranklane_lab.soak.site import CONTROLLERS, SERVICES, SoakSite
 from cranklane_lab.standins.raw_http import RawAnswer, exchange
 from cranklane_lab.standins.routed_worker import NAMES
 
-START_SECONDS = 20.0
+START_TIMEOUT_SECONDS = 20.0
 RECOVERY_SECONDS = 15.0
-CALLERS = 10
-PAUSE_SECONDS = 0.02
-EDIT_SECONDS = 0.7
+CALLER_COUNT = 10
+MAX_CALLER_PAUSE_SECONDS = 0.02
+EDIT_INTERVAL_SECONDS = 0.7
 FINAL_REQUESTS = 60
 
-CRASH_KINDS = 2
-CRASH_PAUSE_SECONDS = 0.7
-"""Mean pause between two of the same request that ends workers."""
+CRASH_TARGETS = 2
+MEAN_CRASH_PAUSE_SECONDS = 0.7
+"""Mean time between two requests to the same crashing target."""
+
 ROUTES: dict[str, dict[str, Any]] = {
     "read": {"prefix": "/read/", "service": "s"},
     "sign": {"prefix": "/sign/", "service": "t", "repeat": "unsafe"},
@@ -43,10 +44,12 @@
 
 @dataclass
 class SoakResult:
-    """One seed's result.
+    """Result of one seed.
 
-    :ivar folder: where the logs of its processes stand.
-    :ivar ends: workers that ended under each request that ends them.
+    :ivar broken: one line per violated invariant.
+    :ivar tables: newest acknowledged version of the route table.
+    :ivar folder: folder of the process logs.
+    :ivar ends: number of worker crashes by request target.
     """
 
     seed: int
@@ -61,7 +64,7 @@
 
 
 class Soak:
-    """One seed."""
+    """Soak run of one seed."""
 
     def __init__(self, seed: int, seconds: float, folder: Path) -> None:
         self._seed = seed
@@ -70,158 +73,171 @@
         self._random = Random(seed)
         self._runtime = RealRuntime()
         self._site = SoakSite(folder)
-        self._seen = Observations()
+        self._observations = Observations()
         self._faults: list[str] = []
-        self._ended = False
-        self._requests = 0
+        self._stopping = False
+        self._request_count = 0
 
     def run(self) -> SoakResult:
-        """Run it; every process that was started has ended when this returns."""
+        """Run the seed and kill all its processes before returning."""
         try:
             self._site.start()
-            if self._form():
-                self._strike()
+            if self._apply_first_table():
+                self._run_with_faults()
                 self._check_recovery()
                 self._check_table()
-                self._seen.check_runs(self._site.workers)
-                self._seen.check_crashes(self._site.crashes, self._site.workers)
+                self._observations.check_runs(self._site.workers)
+                self._observations.check_quarantine(self._site.crashes, self._site.workers)
         finally:
-            self._ended = True
+            self._stopping = True
             self._site.stop()
         return SoakResult(
             self._seed,
             self._seconds,
-            self._seen.broken,
-            self._requests,
-            dict(self._seen.statuses),
-            self._seen.acknowledged,
+            self._observations.broken,
+            self._request_count,
+            dict(self._observations.statuses),
+            self._observations.acknowledged_version,
             self._faults,
             str(self._folder),
             dict(Counter(crash.target.decode() for crash in self._site.crashes)),
         )
 
-    def _note(self, text: str) -> None:
+    def _record_fault(self, text: str) -> None:
         self._faults.append(text)
 
-    # Phases.
-
-    def _form(self) -> bool:
-        """Put the first table in force; return whether that went well."""
-        if not self._put(1, 0, START_SECONDS):
-            self._seen.break_promise("no first table within the time to start")
+    def _apply_first_table(self) -> bool:
+        """Apply the first route table; return whether it was acknowledged in time."""
+        if not self._put_table(1, 0, START_TIMEOUT_SECONDS):
+            self._observations.record_violation(
+                "the first route table was not acknowledged in time"
+            )
             return False
         gevent.sleep(2.0)
         return True
 
-    def _strike(self) -> None:
-        faults = Faults(self._site, Random(self._random.random()), self._note)
-        tasks = [gevent.spawn(self._call) for _ in range(CALLERS)]
-        tasks.append(gevent.spawn(self._edit))
-        tasks += [gevent.spawn(self._crash, kind) for kind in range(CRASH_KINDS)]
-        striking = [
-            gevent.spawn(faults.strike_sidecars, lambda: self._ended),
-            gevent.spawn(faults.strike_controllers, lambda: self._ended),
+    def _run_with_faults(self) -> None:
+        injector = FaultInjector(self._site, Random(self._random.random()), self._record_fault)
+        tasks = [gevent.spawn(self._run_caller) for _ in range(CALLER_COUNT)]
+        tasks.append(gevent.spawn(self._run_operator))
+        tasks += [gevent.spawn(self._run_crash_sender, number) for number in range(CRASH_TARGETS)]
+        fault_tasks = [
+            gevent.spawn(injector.inject_sidecar_faults, lambda: self._stopping),
+            gevent.spawn(injector.inject_controller_faults, lambda: self._stopping),
         ]
         gevent.sleep(self._seconds)
-        self._ended = True
-        gevent.joinall(striking + tasks, timeout=60.0)
+        self._stopping = True
+        gevent.joinall(fault_tasks + tasks, timeout=60.0)
 
     def _check_recovery(self) -> None:
-        """Everything must be served some time after the last fault."""
+        """Check that all requests succeed once the site had time to recover."""
         gevent.sleep(RECOVERY_SECONDS)
         failed = 0
         for number in range(FINAL_REQUESTS):
-            answer = self._ask(number % len(SERVICES), "read", f"final-{number}")
+            answer = self._send_request(number % len(SERVICES), "read", f"final-{number}")
             failed += answer is None or answer.status != 200
         if failed:
-            self._seen.break_promise(f"{failed} of {FINAL_REQUESTS} not served after recovery")
+            self._observations.record_violation(
+                f"{failed} of {FINAL_REQUESTS} requests failed after recovery"
+            )
 
     def _check_table(self) -> None:
-        read = self._read(10.0)
-        if read is None:
-            self._seen.break_promise("the route table could not be read at the end")
+        table = self._read_table(10.0)
+        if table is None:
+            self._observations.record_violation("the route table could not be read after the run")
             return
-        self._seen.read(self._seen.acknowledged, read["version"])
-        expected = self._seen.taken.get(read["version"])
-        if expected is not None and expected != json.dumps(read, sort_keys=True):
-            self._seen.break_promise(f"version {read['version']} is not as it was sent")
-
-    # Callers.
-
-    def _call(self) -> None:
+        self._observations.record_read(self._observations.acknowledged_version, table["version"])
+        expected = self._observations.sent_tables.get(table["version"])
+        if expected is not None and expected != json.dumps(table, sort_keys=True):
+            self._observations.record_violation(
+                f"version {table['version']} differs from the document that was sent"
+            )
+
+    def _run_caller(self) -> None:
         random = Random(self._random.random())
-        while not self._ended:
+        while not self._stopping:
             route = random.choice(("read", "sign", "both"))
-            self._requests += 1
-            name = f"{route}-{self._seed}-{self._requests}"
-            answer = self._ask(random.randrange(len(SERVICES)), route, name)
-            self._seen.answered(name, route != "sign", answer)
-            gevent.sleep(PAUSE_SECONDS * random.random())
-
-    def _crash(self, kind: int) -> None:
-        """Send the same request, which ends workers, at one machine after the other."""
+            self._request_count += 1
+            request_id = f"{route}-{self._seed}-{self._request_count}"
+            answer = self._send_request(random.randrange(len(SERVICES)), route, request_id)
+            self._observations.record_answer(request_id, route != "sign", answer)
+            gevent.sleep(MAX_CALLER_PAUSE_SECONDS * random.random())
+
+    def _run_crash_sender(self, target_number: int) -> None:
+        """Send requests that crash workers to random machines, all with the same target."""
         random = Random(self._random.random())
-        while not self._ended:
-            gevent.sleep(CRASH_PAUSE_SECONDS * 2 * random.random())
-            name = f"crash-{kind}-{random.getrandbits(32)}"
-            self._ask(random.randrange(len(SERVICES)), "read", name, f"crash-{kind}")
-
-    def _ask(self, machine: int, route: str, name: str, rest: str = "x") -> RawAnswer | None:
+        while not self._stopping:
+            gevent.sleep(MEAN_CRASH_PAUSE_SECONDS * 2 * random.random())
+            request_id = f"crash-{target_number}-{random.getrandbits(32)}"
+            self._send_request(
+                random.randrange(len(SERVICES)), "read", request_id, f"crash-{target_number}"
+            )
+
+    def _send_request(
+        self, machine: int, route: str, request_id: str, path_suffix: str = "x"
+    ) -> RawAnswer | None:
         headers = {
             "Host": HOST,
-            NAMES.request.decode(): name,
+            NAMES.request.decode(): request_id,
             NAMES.deadline.decode(): "4000",
         }
         address = self._site.callers_address(machine)
         body = b"x" * 500 if route == "sign" else b""
         method = "POST" if body else "GET"
-        return exchange(self._runtime, address, method, f"/{route}/{rest}", headers, body, 5.0)
-
-    # Operators.
+        return exchange(
+            self._runtime, address, method, f"/{route}/{path_suffix}", headers, body, 5.0
+        )
 
-    def _edit(self) -> None:
+    def _run_operator(self) -> None:
         version = 1
-        while not self._ended:
-            gevent.sleep(EDIT_SECONDS)
-            if self._put(version + 2, version, 30.0):
+        while not self._stopping:
+            gevent.sleep(EDIT_INTERVAL_SECONDS)
+            if self._put_table(version + 2, version, 30.0):
                 version += 2
-            acknowledged = self._seen.acknowledged
-            read = self._read(0.0)
-            if read is not None:
-                self._seen.read(acknowledged, read["version"])
+            acknowledged_version = self._observations.acknowledged_version
+            table = self._read_table(0.0)
+            if table is not None:
+                self._observations.record_read(acknowledged_version, table["version"])
+
+    def _put_table(self, version: int, base: int, seconds: float) -> bool:
+        """Send a route table until it is acknowledged, rejected or out of time.
 
-    def _put(self, version: int, base: int, seconds: float) -> bool:
-        """Send a table until it is acknowledged or refused for certain."""
+        :return: whether it was acknowledged.
+        """
         routes = {**ROUTES, f"v{version}": {"prefix": f"/v{version}/", "service": "s"}}
         document = route_table(version, base, routes, ("s", "t"))
-        self._seen.taken[version] = json.dumps(document, sort_keys=True)
+        self._observations.sent_tables[version] = json.dumps(document, sort_keys=True)
         body = json.dumps(document).encode()
-        until = self._runtime.monotonic() + seconds
+        deadline = self._runtime.monotonic() + seconds
         number = 0
-        while self._runtime.monotonic() < until:
+        while self._runtime.monotonic() < deadline:
             number += 1
-            answer = self._operator("POST", body, number % CONTROLLERS)
+            answer = self._send_to_controller("POST", body, number % CONTROLLERS)
             if answer is not None and answer.status == 200:
-                self._seen.acknowledged = max(self._seen.acknowledged, version)
+                self._observations.acknowledged_version = max(
+                    self._observations.acknowledged_version, version
+                )
                 return True
             if answer is not None and 400 <= answer.status < 500:
-                self._seen.break_promise(f"version {version} on {base} got {answer.status}")
+                self._observations.record_violation(
+                    f"version {version} based on {base} was rejected: status {answer.status}"
+                )
                 return False
             gevent.sleep(0.1)
         return False
 
-    def _read(self, seconds: float) -> dict[str, Any] | None:
-        until = self._runtime.monotonic() + seconds
+    def _read_table(self, seconds: float) -> dict[str, Any] | None:
+        deadline = self._runtime.monotonic() + seconds
         while True:
             for number in range(CONTROLLERS):
-                answer = self._operator("GET", b"", number)
+                answer = self._send_to_controller("GET", b"", number)
                 if answer is not None and answer.status == 200 and answer.whole:
                     return json.loads(answer.body)
-            if self._runtime.monotonic() >= until:
+            if self._runtime.monotonic() >= deadline:
                 return None
             gevent.sleep(0.2)
 
-    def _operator(self, method: str, body: bytes, number: int) -> RawAnswer | None:
+    def _send_to_controller(self, method: str, body: bytes, number: int) -> RawAnswer | None:
         address: Address = self._site.operators_address(number)
         for _ in range(3):
             answer = exchange(self._runtime, address, method, "/v1/route-table", {}, body, 2.0)
@@ -233,9 +249,9 @@
 
 
 def run_soak(seeds: range, seconds: float, folder: str) -> list[SoakResult]:
-    """Run seeds one after the other.
+    """Run the seeds one after the other.
 
-    :param folder: where logs are kept; empty: a new temporary folder.
+    :param folder: folder for logs; a new temporary folder if empty.
     """
     base = Path(folder or tempfile.mkdtemp(prefix="cranklane-soak-"))
     return [Soak(seed, seconds, base / f"seed-{seed}").run() for seed in seeds]
--- a/src/cranklane_lab/soak/site.py
+++ b/src/cranklane_lab/soak/site.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: controllers, sidecars with workers, proxies between them."""
+"""Deployment under a soak test: controllers, sidecars, workers and the proxies between them."""
 
 from __future__ import annotations
 
@@ -17,33 +17,33 @@
 from cranklane_lab.standins.routed_worker import RoutedRun, RoutedWorker
 
 CONTROLLERS = 3
-TOLERATED = 1
+TOLERATED_LOSSES = 1
 SERVICES = ("s", "s", "s", "t", "t")
 SLOTS = 16
 WORK_SECONDS = 0.01
 
 CRASH_MARK = b"/read/crash"
-"""Requests whose target holds this end the worker that runs them."""
+"""A request whose target contains this crashes the worker that runs it."""
 
-BACK_SECONDS = 1.5
-"""A worker that has ended is back after this long."""
+WORKER_RESTART_SECONDS = 1.5
+"""Time between the crash of a worker and its restart."""
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """A worker that ended under a request."""
+    """Crash of a worker while it ran a request."""
 
     at: float
     target: bytes
 
 
 class SoakSite:
-    """Addresses are of the loopback range; those told to others are the proxies'.
+    """Processes on loopback addresses, which advertise the addresses of their proxies.
 
-    :ivar controllers: running controllers by number.
-    :ivar sidecars: running sidecars by number.
-    :ivar proxies: by the name of the process behind each.
-    :ivar crashes: the workers that have ended, in their order.
+    :ivar controllers: controller processes by number.
+    :ivar sidecars: sidecar processes by number.
+    :ivar proxies: proxies by the name of the target process.
+    :ivar crashes: worker crashes in order of time.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -57,26 +57,29 @@
         self.crashes: list[Crash] = []
 
     def start(self) -> None:
-        """Start everything for the first time."""
+        """Start all proxies, processes and workers."""
         for number in range(CONTROLLERS):
             self._proxy(f"controller-{number}", f"127.0.3.{number + 1}", f"127.0.1.{number + 1}")
         for number in range(CONTROLLERS):
-            self.start_controller(number, first=True)
+            self.start_controller(number, first_start=True)
         for number in range(len(SERVICES)):
             self._proxy(f"sidecar-{number}", f"127.0.4.{number + 1}", f"127.0.2.{number + 1}")
             self.start_sidecar(number)
             self.workers.append(self._new_worker(number, f"i-{number}"))
 
-    def _proxy(self, name: str, near: str, far: str) -> None:
-        self.proxies[name] = Proxy((near, self._ports.peer), (far, self._ports.peer))
+    def _proxy(self, name: str, listen_host: str, target_host: str) -> None:
+        self.proxies[name] = Proxy((listen_host, self._ports.peer), (target_host, self._ports.peer))
 
     def _seeds(self) -> str:
-        # Operators are reached without a proxy, so the seeds' ports differ from theirs;
-        # only their hosts count, with the peer port.
+        # The HTTP port is not proxied. Only the host of a seed is used, with the peer port.
         return ",".join(f"127.0.3.{number + 1}:{self._ports.http}" for number in range(CONTROLLERS))
 
-    def start_controller(self, number: int, first: bool = False, empty: bool = False) -> None:
-        """Start a controller, with its disk or an empty one."""
+    def start_controller(self, number: int, first_start: bool = False, empty: bool = False) -> None:
+        """Start or restarts a controller.
+
+        :param first_start: whether the group starts for the first time.
+        :param empty: whether to delete its data first.
+        """
         name = f"controller-{number}"
         data = self._folder / name
         if empty:
@@ -85,13 +88,13 @@
         flags = {
             **self._ports.controller(name, host, str(data), self._seeds()),
             "advertise": f"127.0.3.{number + 1}:{self._ports.peer}",
-            "first-start": "yes" if first else "no",
-            "tolerated-losses": str(TOLERATED),
+            "first-start": "yes" if first_start else "no",
+            "tolerated-losses": str(TOLERATED_LOSSES),
         }
         self.controllers[number] = self._start(name, "controller", flags)
 
     def start_sidecar(self, number: int) -> None:
-        """Start a sidecar."""
+        """Start or restarts a sidecar."""
         name = f"sidecar-{number}"
         host = f"127.0.2.{number + 1}"
         flags = {
@@ -119,39 +122,39 @@
         worker.state.seconds = WORK_SECONDS
         worker.state.echoes = True
         worker.state.crash_mark = CRASH_MARK
-        worker.state.on_crash = partial(self._crashed, number)
+        worker.state.on_crash = partial(self._crash_worker, number)
         self._runtime.spawn(worker.beat_on)
         return worker
 
-    def _crashed(self, number: int, run: RoutedRun) -> None:
-        """End a worker under a request, and start it again a while later."""
+    def _crash_worker(self, number: int, run: RoutedRun) -> None:
+        """Crash a worker and schedules its restart."""
         worker = self.workers[number]
         if worker.ended:
             return
         self.crashes.append(Crash(self._runtime.monotonic(), run.target))
         worker.end()
-        gevent.spawn_later(BACK_SECONDS, self._restart_worker, number)
+        gevent.spawn_later(WORKER_RESTART_SECONDS, self._restart_worker, number)
 
     def _restart_worker(self, number: int) -> None:
-        former = self.workers[number]
+        previous = self.workers[number]
         worker = self._new_worker(number, f"i-{number}+{len(self.crashes)}")
-        worker.state.runs = former.state.runs
+        worker.state.runs = previous.state.runs
         self.workers[number] = worker
 
     def callers_address(self, number: int) -> tuple[str, int]:
-        """Return where a sidecar's machine sends its requests."""
+        """Return the address of a sidecar for its local callers."""
         return f"127.0.2.{number + 1}", self._ports.callers
 
     def operators_address(self, number: int) -> tuple[str, int]:
-        """Return where operators ask a controller."""
+        """Return the address of a controller's operator interface."""
         return f"127.0.1.{number + 1}", self._ports.http
 
     def processes(self) -> Iterable[FleetProcess]:
-        """Return every process that was started and not replaced."""
+        """Return the latest process of each controller and sidecar."""
         return [*self.controllers.values(), *self.sidecars.values()]
 
     def stop(self) -> None:
-        """End the processes that this site started, by their numbers."""
+        """Kill all processes and closes the proxies."""
         for process in self.processes():
             if process.alive:
                 process.thaw()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""What the soak takes for a broken promise, and that its faults follow its seed."""
+"""The checks of the soak test and the reproducibility of its faults."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 import pytest
 
 from cranklane_lab.soak.checks import Observations
-from cranklane_lab.soak.faults import Faults
+from cranklane_lab.soak.faults import FaultInjector
 from cranklane_lab.soak.proxy import ProxyMode
 from cranklane_lab.soak.site import CONTROLLERS, SERVICES, Crash
 from cranklane_lab.standins.raw_http import RawAnswer
 
 
-def workers(*requests):
+def workers_that_ran(*requests):
     runs = [SimpleNamespace(request=request) for request in requests]
     return [SimpleNamespace(state=SimpleNamespace(runs=runs))]
 
@@ -23,54 +23,57 @@
     return RawAnswer(status, {}, body)
 
 
-def test_what_is_right_breaks_nothing():
-    seen = Observations()
-    seen.answered("a", False, answer(200, b"ran a"))
-    seen.answered("b", False, answer(503))
-    seen.answered("c", False, answer(502))
-    seen.answered("d", True, answer(503))
-    seen.answered("e", False, None)
-    seen.read(3, 3)
-    seen.check_runs(workers("a", "c", "d", "d", "e"))
-    assert seen.broken == []
+def test_correct_responses_and_runs_are_no_violation():
+    observations = Observations()
+    observations.record_answer("a", False, answer(200, b"ran a"))
+    observations.record_answer("b", False, answer(503))
+    observations.record_answer("c", False, answer(502))
+    observations.record_answer("d", True, answer(503))
+    observations.record_answer("e", False, None)
+    observations.record_read(3, 3)
+    observations.check_runs(workers_that_ran("a", "c", "d", "d", "e"))
+    assert observations.broken == []
 
 
 @pytest.mark.parametrize(
-    ("spoil", "told"),
+    ("violate", "message"),
     [
-        (lambda seen: seen.answered("a", True, answer(200, b"ran b")), "another's answer"),
-        (lambda seen: seen.read(4, 3), "gave version 3 after 4"),
+        (
+            lambda observations: observations.record_answer("a", True, answer(200, b"ran b")),
+            "another request's answer",
+        ),
+        (lambda observations: observations.record_read(4, 3), "returned version 3 after 4"),
     ],
 )
-def test_a_wrong_answer_or_an_old_read_is_a_broken_promise(spoil, told):
-    seen = Observations()
-    spoil(seen)
-    assert [told in line for line in seen.broken] == [True]
+def test_a_wrong_response_or_a_stale_read_is_a_violation(violate, message):
+    observations = Observations()
+    violate(observations)
+    assert [message in line for line in observations.broken] == [True]
 
 
 @pytest.mark.parametrize(
-    ("status", "ran", "told"),
-    [(502, ("a", "a"), "ran 2 times"), (503, ("a",), "was told that it had not run")],
+    ("status", "ran", "message"),
+    [(502, ("a", "a"), "ran 2 times"), (503, ("a",), "was refused as not run")],
 )
-def test_what_ran_twice_or_was_denied_is_a_broken_promise(status, ran, told):
-    seen = Observations()
-    seen.answered("a", False, answer(status))
-    seen.check_runs(workers(*ran))
-    assert [told in line for line in seen.broken] == [True]
+def test_a_second_run_or_a_run_after_a_refusal_is_a_violation(status, ran, message):
+    observations = Observations()
+    observations.record_answer("a", False, answer(status))
+    observations.check_runs(workers_that_ran(*ran))
+    assert [message in line for line in observations.broken] == [True]
 
 
-def runs_of(target, *moments):
-    runs = [SimpleNamespace(request="c", target=target, at=at) for at in moments]
+def workers_that_ran_at(target, *times):
+    runs = [SimpleNamespace(request="c", target=target, at=at) for at in times]
     return [SimpleNamespace(state=SimpleNamespace(runs=runs))]
 
 
 @pytest.mark.parametrize(("runs_after", "broken"), [(3, 0), (4, 1)])
-def test_a_request_that_ends_workers_may_run_thrice_more_once_it_is_known(runs_after, broken):
-    seen = Observations()
+def test_a_quarantined_request_may_run_at_most_three_more_times(runs_after, broken):
+    observations = Observations()
     crashes = [Crash(float(at), b"/read/crash") for at in (1, 2, 3)]
-    moments = [1, 2, 3, 5.9, *(6.1 + n for n in range(runs_after))]
-    seen.check_crashes(crashes, runs_of(b"/read/crash", *moments))
-    assert len(seen.broken) == broken
+    times = [1, 2, 3, 5.9, *(6.1 + n for n in range(runs_after))]
+    observations.check_quarantine(crashes, workers_that_ran_at(b"/read/crash", *times))
+    assert len(observations.broken) == broken
 
 
 class StandInProcess:
@@ -90,7 +93,7 @@
         self.sidecars = {n: StandInProcess(self.log, f"sidecar-{n}") for n in range(len(SERVICES))}
         self.controllers = {n: StandInProcess(self.log, f"c-{n}") for n in range(CONTROLLERS)}
         self.proxies = {
-            name: SimpleNamespace(set=self.log.append, delay_seconds=0.0)
+            name: SimpleNamespace(set_mode=self.log.append, delay_seconds=0.0)
             for name in [f"sidecar-{n}" for n in self.sidecars]
             + [f"controller-{n}" for n in self.controllers]
         }
@@ -102,32 +105,32 @@
         self.log.append(f"start c-{number} {empty}")
 
 
-def strike(seed, monkeypatch):
+def inject_faults(seed, monkeypatch):
     monkeypatch.setattr("cranklane_lab.soak.faults.gevent.sleep", lambda _seconds: None)
     site = StandInSite()
     notes = []
-    faults = Faults(site, Random(seed), notes.append)
-    left = iter(range(120))
-    faults.strike_sidecars(lambda: next(left) >= 40)
-    faults.strike_controllers(lambda: next(left) >= 100)
+    injector = FaultInjector(site, Random(seed), notes.append)
+    polls = iter(range(120))
+    injector.inject_sidecar_faults(lambda: next(polls) >= 40)
+    injector.inject_controller_faults(lambda: next(polls) >= 100)
     return notes, site.log
 
 
-def test_a_seed_fixes_the_faults_and_every_kind_comes(monkeypatch):
-    notes, log = strike(7, monkeypatch)
-    assert (notes, log) == strike(7, monkeypatch)
-    assert notes != strike(8, monkeypatch)[0]
+def test_a_seed_determines_the_faults_and_every_kind_occurs(monkeypatch):
+    notes, log = inject_faults(7, monkeypatch)
+    assert (notes, log) == inject_faults(7, monkeypatch)
+    assert notes != inject_faults(8, monkeypatch)[0]
     kinds = {note.split()[0] for note in notes}
     assert kinds == {"kill", "pause", "stop", "link", "empty"}
 
 
-def test_every_fault_is_taken_back(monkeypatch):
-    _, log = strike(3, monkeypatch)
-    stopped = sum(isinstance(entry, str) and entry.startswith("freeze") for entry in log)
+def test_every_fault_is_reverted(monkeypatch):
+    _, log = inject_faults(3, monkeypatch)
+    paused = sum(isinstance(entry, str) and entry.startswith("freeze") for entry in log)
     resumed = sum(isinstance(entry, str) and entry.startswith("thaw") for entry in log)
-    spoiled = [entry for entry in log if isinstance(entry, ProxyMode)]
-    assert stopped == resumed > 0
-    assert spoiled[1::2] == [ProxyMode.PASS] * (len(spoiled) // 2)
+    modes = [entry for entry in log if isinstance(entry, ProxyMode)]
+    assert paused == resumed > 0
+    assert modes[1::2] == [ProxyMode.PASS] * (len(modes) // 2)
     killed = sum(isinstance(entry, str) and entry.startswith("kill") for entry in log)
     started = sum(isinstance(entry, str) and entry.startswith("start") for entry in log)
     assert started >= killed > 0
