--- a/src/cranklane_lab/cost/__init__.py
+++ b/src/cranklane_lab/cost/__init__.py
@@ -1,1 +1,1 @@
-"""Processor time that sidecars spend on a request, by real processes on loopback."""
+"""Measures the CPU time that sidecars spend on a request, with real processes on loopback."""
--- a/src/cranklane_lab/cost/run.py
+++ b/src/cranklane_lab/cost/run.py
@@ -1,4 +1,4 @@
-"""Measures the processor time of a request, side by side with another source tree."""
+"""Measures the CPU time per request, optionally compared with another source tree."""
 
 from __future__ import annotations
 
@@ -15,44 +15,50 @@
 from cranklane_lab.simulation.mesh import HOST
 from cranklane_lab.standins.raw_http import RawConnection, request_bytes
 
-CLIENTS = 8
-WARM_REQUESTS = 500
-MICROSECONDS = 1_000_000
+CLIENT_COUNT = 8
+WARM_UP_REQUESTS = 500
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 @dataclass(frozen=True)
 class Load:
-    """How requests are sent.
+    """Kind of request load.
 
-    :ivar fresh: whether each comes on a connection of its own.
-    :ivar keyed: whether each carries an API key.
+    :ivar connection_per_request: whether each request uses a new connection.
+    :ivar uses_api_key: whether requests carry an API key.
     """
 
     name: str
-    fresh: bool
-    keyed: bool
+    connection_per_request: bool
+    uses_api_key: bool
 
 
 LOADS = (
-    Load("kept connections", fresh=False, keyed=False),
-    Load("fresh connections", fresh=True, keyed=False),
-    Load("fresh connections, keys", fresh=True, keyed=True),
+    Load("kept connections", connection_per_request=False, uses_api_key=False),
+    Load("fresh connections", connection_per_request=True, uses_api_key=False),
+    Load("fresh connections, keys", connection_per_request=True, uses_api_key=True),
 )
 
 
-class _Sender:
-    """Sends requests through a site, several at a time."""
+class _LoadGenerator:
+    """Sends requests through a site from several concurrent clients."""
 
-    def __init__(self, site: CostSite, fresh: bool) -> None:
+    def __init__(self, site: CostSite, connection_per_request: bool) -> None:
         self._site = site
-        self._fresh = fresh
+        self._connection_per_request = connection_per_request
         self._runtime = RealRuntime()
         self._numbers = count()
 
     def send(self, requests: int) -> None:
-        """Send requests and read their answers."""
-        each = requests // CLIENTS
-        gevent.joinall([gevent.spawn(self._client, each) for _ in range(CLIENTS)], raise_error=True)
+        """Send requests and wait for their responses.
+
+        :raises RuntimeError: if a response is missing or its status is not 200.
+        """
+        requests_per_client = requests // CLIENT_COUNT
+        gevent.joinall(
+            [gevent.spawn(self._client, requests_per_client) for _ in range(CLIENT_COUNT)],
+            raise_error=True,
+        )
 
     def _client(self, requests: int) -> None:
         connection: RawConnection | None = None
@@ -63,48 +69,50 @@
             connection.send(request_bytes("GET", "/read/x", headers))
             answer = connection.answer()
             if answer is None or answer.status != 200:
-                raise RuntimeError(f"a request was answered with {answer}")
-            if self._fresh:
+                raise RuntimeError(f"expected a response with status 200, received {answer}")
+            if self._connection_per_request:
                 connection.close()
                 connection = None
 
 
-def _measure(site: CostSite, sender: _Sender, requests: int) -> float:
-    before = site.processor_seconds()
-    sender.send(requests)
-    return (site.processor_seconds() - before) / requests * MICROSECONDS
+def _measure(site: CostSite, generator: _LoadGenerator, requests: int) -> float:
+    before = site.cpu_seconds()
+    generator.send(requests)
+    return (site.cpu_seconds() - before) / requests * MICROSECONDS_PER_SECOND
 
 
 def measure_load(load: Load, sources: list[Path | None], requests: int, rounds: int) -> list[str]:
-    """Return a line for each source tree: microseconds a request over both sidecars.
+    """Measure the CPU time per request of both sidecars; return the lines of the report.
 
-    :param rounds: windows of so many requests for each tree, in turn.
+    :param sources: source trees to run, in turn; None: the installed one.
+    :param requests: requests per measurement window.
+    :param rounds: measurement windows per source tree.
     """
     with tempfile.TemporaryDirectory() as folder:
         sites = [
-            CostSite(Path(folder) / str(number), source, load.keyed)
+            CostSite(Path(folder) / str(number), source, load.uses_api_key)
             for number, source in enumerate(sources)
         ]
         try:
             for site in sites:
                 site.start()
-            senders = [_Sender(site, load.fresh) for site in sites]
-            for sender in senders:
-                sender.send(WARM_REQUESTS)
-            figures: list[list[float]] = [[] for _ in sites]
+            generators = [_LoadGenerator(site, load.connection_per_request) for site in sites]
+            for generator in generators:
+                generator.send(WARM_UP_REQUESTS)
+            costs_by_site: list[list[float]] = [[] for _ in sites]
             for _ in range(rounds):
                 for number, site in enumerate(sites):
-                    figures[number].append(_measure(site, senders[number], requests))
+                    costs_by_site[number].append(_measure(site, generators[number], requests))
         finally:
             for site in sites:
                 site.stop()
     names = [str(source) if source is not None else "this tree" for source in sources]
     lines = [
-        f"{load.name:<26}{name:<24}median {statistics.median(taken):6.0f} us, "
-        f"{min(taken):6.0f} to {max(taken):6.0f}"
-        for name, taken in zip(names, figures, strict=True)
+        f"{load.name:<26}{name:<24}median {statistics.median(costs):6.0f} us, "
+        f"{min(costs):6.0f} to {max(costs):6.0f}"
+        for name, costs in zip(names, costs_by_site, strict=True)
     ]
-    if len(figures) == 2:
-        ratios = [own / other for own, other in zip(*figures, strict=True)]
+    if len(costs_by_site) == 2:
+        ratios = [cost / baseline_cost for cost, baseline_cost in zip(*costs_by_site, strict=True)]
         lines.append(f"{'':<26}ratio, window by window: median {statistics.median(ratios):.3f}")
     return lines
--- a/src/cranklane_lab/cost/site.py
+++ b/src/cranklane_lab/cost/site.py
@@ -1,4 +1,4 @@
-"""A controller and two sidecars as processes, with a worker, to send requests through."""
+"""Deployment for CPU measurements: a controller, two sidecars and a worker."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 from cranklane_lab.standins.routed_worker import NAMES, RoutedWorker
 
 SLOTS = 64
-KEY = "key-of-the-client"
+API_KEY = "key-of-the-client"
 START_TIMEOUT_SECONDS = 15.0
-CALLER_SIDECAR = 0
-CONTROLLER_HOST = 9
-"""Number of the controller's host; sidecars have the first ones."""
+CALLER_SIDECAR_NUMBER = 0
+CONTROLLER_HOST_NUMBER = 9
+"""Above the host numbers of the sidecars."""
 
 _ROUTES = {"read": {"prefix": "/read/", "service": "s"}}
-_TENANTS = {"client": {"keys": [KEY], "rate_per_s": 100_000, "burst": 100_000}}
+_TENANTS = {"client": {"keys": [API_KEY], "rate_per_s": 100_000, "burst": 100_000}}
 
 
 class CostSite:
-    """Requests enter at one sidecar and run at the worker beside the other.
+    """Forwards requests from one sidecar to the worker of the other.
 
-    :param source: source tree that the processes run from; None: this one.
-    :param keyed: whether requests need an API key.
-    :ivar sidecars: the two processes.
+    :param source: source tree to run the processes from; None: the installed one.
+    :param uses_api_key: whether requests need an API key.
+    :ivar sidecars: processes of both sidecars.
     """
 
-    def __init__(self, folder: Path, source: Path | None, keyed: bool) -> None:
+    def __init__(self, folder: Path, source: Path | None, uses_api_key: bool) -> None:
         self._folder = folder
         self._source = source
-        self._keyed = keyed
+        self._uses_api_key = uses_api_key
         self._runtime = RealRuntime()
         self._ports = MeshPorts()
-        self._net = free_port() % 250 + 1
+        self._subnet = free_port() % 250 + 1
         self.sidecars: list[FleetProcess] = []
         self._controller: FleetProcess | None = None
 
     def start(self) -> None:
-        """Start everything and put a route table in force.
+        """Start the processes and the worker, and apply a route table.
 
-        :raises TimeoutError: when requests are not served in time.
+        :raises TimeoutError: if requests are not served in time.
         """
         self._controller = self._start_controller()
         for number, service in enumerate(("t", "s")):
@@ -64,14 +64,14 @@
         )
         worker.state.work = lambda _run: 200
         self._runtime.spawn(worker.beat_on)
-        self._until(self._put_table)
-        self._until(self._is_served)
+        self._wait_until(self._put_table)
+        self._wait_until(self._serves_requests)
 
     def _host(self, number: int) -> str:
-        return f"127.0.{self._net}.{number + 1}"
+        return f"127.0.{self._subnet}.{number + 1}"
 
     def _start_controller(self) -> FleetProcess:
-        host = self._host(CONTROLLER_HOST)
+        host = self._host(CONTROLLER_HOST_NUMBER)
         flags = {
             **self._ports.controller(
                 "controller-0", host, str(self._folder / "controller"), self._seeds()
@@ -87,50 +87,50 @@
         return self._start(name, "sidecar", flags)
 
     def _seeds(self) -> str:
-        return f"{self._host(CONTROLLER_HOST)}:{self._ports.http}"
+        return f"{self._host(CONTROLLER_HOST_NUMBER)}:{self._ports.http}"
 
     def _start(self, name: str, daemon: str, flags: dict[str, str]) -> FleetProcess:
         arguments = as_arguments(daemon, flags)
         return start(name, "cranklane.cli.entry", arguments, self._folder, self._source)
 
     def _put_table(self) -> bool:
-        table = route_table(1, 0, _ROUTES, ("s", "t"), _TENANTS if self._keyed else None)
-        address = self._host(CONTROLLER_HOST), self._ports.http
+        table = route_table(1, 0, _ROUTES, ("s", "t"), _TENANTS if self._uses_api_key else None)
+        address = self._host(CONTROLLER_HOST_NUMBER), self._ports.http
         body = json.dumps(table).encode()
         answer = exchange(self._runtime, address, "POST", "/v1/route-table", {}, body)
         return answer is not None and answer.status == 200
 
-    def _is_served(self) -> bool:
+    def _serves_requests(self) -> bool:
         headers = {"Host": HOST, **self.headers("probe")}
         answer = exchange(self._runtime, self.callers, "GET", "/read/x", headers)
         return answer is not None and answer.status == 200
 
     @staticmethod
-    def _until(condition: object) -> None:
-        ends_at = time.monotonic() + START_TIMEOUT_SECONDS
+    def _wait_until(condition: object) -> None:
+        give_up_at = time.monotonic() + START_TIMEOUT_SECONDS
         while not condition():  # type: ignore[operator]
-            if time.monotonic() > ends_at:
-                raise TimeoutError("the processes did not serve in time")
+            if time.monotonic() > give_up_at:
+                raise TimeoutError("the site did not serve requests in time")
             gevent.sleep(0.1)
 
     @property
     def callers(self) -> tuple[str, int]:
-        """Where requests enter."""
-        return self._host(CALLER_SIDECAR), self._ports.callers
-
-    def headers(self, request: str) -> dict[str, str]:
-        """Return the headers of a request, besides its host."""
-        headers = {NAMES.request.decode(): request, NAMES.deadline.decode(): "5000"}
-        if self._keyed:
-            headers[NAMES.key.decode()] = KEY
+        """Address of the sidecar that accepts the requests."""
+        return self._host(CALLER_SIDECAR_NUMBER), self._ports.callers
+
+    def headers(self, request_id: str) -> dict[str, str]:
+        """Return the headers of a request other than ``Host``."""
+        headers = {NAMES.request.decode(): request_id, NAMES.deadline.decode(): "5000"}
+        if self._uses_api_key:
+            headers[NAMES.key.decode()] = API_KEY
         return headers
 
-    def processor_seconds(self) -> float:
-        """Return the processor time that both sidecars have used."""
+    def cpu_seconds(self) -> float:
+        """Return the CPU time that both sidecars have used."""
         return sum(process.cpu_seconds() for process in self.sidecars)
 
     def stop(self) -> None:
-        """End the processes."""
+        """Kill the processes."""
         for process in (*self.sidecars, self._controller):
             if process is not None and process.alive:
                 process.kill()
--- a/src/cranklane_lab/days/__init__.py
+++ b/src/cranklane_lab/days/__init__.py
@@ -1,1 +1,1 @@
-"""Plays the days of ``deploy/days`` on a deployment and tells what fell short."""
+"""Runs the day files of ``deploy/days`` on a deployment and reports the problems."""
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""The day files, and the runner that plays them with an outside program."""
+"""The day files and the command that runs them with an external program."""
 
 from __future__ import annotations
 
@@ -9,23 +9,23 @@
 from typer.testing import CliRunner
 
 from cranklane_lab.cli import application
-from cranklane_lab.days.play import name_of
+from cranklane_lab.days.play import read_day_name
 
 DAYS_FOLDER = Path(__file__).parents[1] / "deploy" / "days"
 DAYS = sorted(DAYS_FOLDER.glob("*.toml"))
 
 
 @pytest.mark.parametrize("file", DAYS, ids=lambda file: file.stem)
-def test_a_day_file_holds_one_day_of_its_name_with_some_trouble(file):
+def test_a_day_file_has_one_day_named_like_the_file_with_plans_or_faults(file):
     day = tomllib.loads(file.read_text())["day"][0]
-    assert name_of(file) == file.stem
+    assert read_day_name(file) == file.stem
     entries = [*day.get("plan", []), *day.get("faults", [])]
     assert entries
     assert all(0 <= entry["at"] <= 20 and entry["kind"] for entry in entries)
 
 
-def stand_in(folder, line):
-    """Return a program that prints a line as the bench would."""
+def fake_bench(folder, line):
+    """Return a program that prints a line in the format of the bench."""
     program = folder / "bench"
     program.write_text(f"#!/bin/sh\necho '{line}'\n")
     program.chmod(0o755)
@@ -33,18 +33,20 @@
 
 
 @pytest.mark.parametrize(
-    ("end", "status", "told"),
+    ("line_end", "status", "message"),
     [
-        ("worst windows 0.99", 0, "nothing fell short"),
+        ("worst windows 0.99", 0, "no problems"),
         ("worst windows 0.99  BROKEN: QUOTA 3 (else 0.5)", 1, "QUOTA 3"),
     ],
 )
-def test_the_runner_tells_what_fell_short(tmp_path, end, status, told):
-    program = stand_in(tmp_path, f"hot-tenant   76/0   0.54  0.540  0.994   0.001  0.003  {end}")
+def test_the_command_reports_the_problems_of_each_day(tmp_path, line_end, status, message):
+    program = fake_bench(
+        tmp_path, f"hot-tenant   76/0   0.54  0.540  0.994   0.001  0.003  {line_end}"
+    )
     days = tmp_path / "days"
     days.mkdir()
     (days / "hot-tenant.toml").write_text(DAYS_FOLDER.joinpath("hot-tenant.toml").read_text())
     arguments = ["days", "site.toml", "--bench", str(program), "--folder", str(days)]
     result = CliRunner().invoke(application, arguments)
     assert result.exit_code == status
-    assert told in result.output.splitlines()[0]
+    assert message in result.output.splitlines()[0]
