--- a/src/cranklane_lab/demo.py
+++ b/src/cranklane_lab/demo.py
@@ -96,7 +96,7 @@
     def _break(self, site: Site) -> None:
         """Kill one worker, and drain a node of another service."""
         services = site.deployment.services
-        killed, drained = site.of(services[0].name)[0], site.of(services[2].name)[0]
+        killed, drained = site.pairs_of(services[0].name)[0], site.pairs_of(services[2].name)[0]
         killed.worker.kill()
         client = HttpClient(self._runtime, drained.admin)
         client.request("POST", "/drain").read()
--- a/src/cranklane_lab/evidence/__init__.py
+++ b/src/cranklane_lab/evidence/__init__.py
@@ -1,1 +1,1 @@
-"""Measures what callers of a large service learn of its sick workers."""
+"""Simulates how callers of a large service detect its unhealthy workers."""
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -1,9 +1,9 @@
-"""Many callers of one service whose workers are partly sick, on a virtual clock.
+"""Discrete-event simulation of a service with unhealthy workers and many callers.
 
-Plays the product's own choice of workers (``Destinations``) and its judgement of them
-(``WorkerCondition``), without connections: a caller's request reaches a worker after a hop,
-waits for a slot, runs, and its answer comes back after another hop. What a worker's sidecar
-tells control reaches every caller after ``CONTROL_SECONDS``.
+Uses the production code for worker choice (``WorkerChoice``) and worker health
+(``WorkerCondition``). Each request and response takes ``HOP_SECONDS``; a worker queues
+requests beyond its slots. A condition report reaches all callers after
+``REPORT_DELAY_SECONDS``.
 """
 
 from __future__ import annotations
@@ -27,34 +27,36 @@
 ROUTE = "route"
 ZONES = ("a", "b", "c", "d", "e", "f")
 SPEEDS = (0.7, 1.0, 1.0, 1.3)
-"""Speeds of the workers, in turn."""
+"""Relative speeds, assigned to the workers in turn."""
 
 HOP_SECONDS = 0.0015
-CONTROL_SECONDS = 0.2
-"""From a sidecar's word to control until its callers know: merged twice for 50 ms."""
+REPORT_DELAY_SECONDS = 0.2
+"""Delay of a report from a sidecar to all callers; includes two batching delays of 50 ms."""
 
-WORK_SPREAD = 0.5
-"""Standard deviation of the logarithm of a run's time."""
+RUN_TIME_SIGMA = 0.5
+"""Standard deviation of the logarithm of the run time."""
 
-_MEAN_OF_SPREAD = 1.133
-"""Mean of a log-normal time of that spread whose median is 1."""
+_RUN_TIME_MEAN = 1.133
+"""Mean of the log-normal distribution with median 1 and :data:`RUN_TIME_SIGMA`."""
 
 WARM_UP_SECONDS = 3.0
-"""What is learnt in this time is not counted."""
+"""Requests before this time are excluded from the shares and latencies."""
 
 _PRIORITY = 1
 
 
 @dataclass(frozen=True)
 class Shape:
-    """A service, its callers and what ails its workers.
-
-    :ivar work_seconds: mean time of a run at a worker of speed 1.
-    :ivar load: part of all slots that is busy when every worker is well.
-    :ivar sick_part: part of the workers that is sick.
-    :ivar slower: how many times slower a sick worker is.
-    :ivar failing: part of its runs that a sick worker fails, at once.
-    :ivar told: whether callers are told what the workers' own sidecars see.
+    """Size, load and faults of a simulated service.
+
+    :ivar slots: concurrent requests per worker.
+    :ivar work_seconds: mean run time at a worker of speed 1.
+    :ivar load: busy fraction of all slots if every worker is healthy.
+    :ivar seconds: simulated time.
+    :ivar sick_part: fraction of workers that are unhealthy.
+    :ivar slower: factor by which an unhealthy worker is slower.
+    :ivar failing: fraction of runs that fail at an unhealthy worker, after ``HOP_SECONDS``.
+    :ivar told: whether sidecars report the condition of their workers to the callers.
     """
 
     callers: int
@@ -71,16 +73,17 @@
 
 @dataclass
 class Outcome:
-    """What a trial came to.
-
-    :ivar to_sick: requests sent to sick workers after the warm-up.
-    :ivar sent: all requests sent after the warm-up.
-    :ivar failed: runs that failed.
-    :ivar refused: requests without a worker.
-    :ivar told: judgements told to control, each then told to every caller.
+    """Results of a trial.
+
+    :ivar to_unhealthy: requests that reached unhealthy workers after the warm-up.
+    :ivar sent: all requests that reached workers after the warm-up.
+    :ivar failed: failed runs, warm-up included.
+    :ivar refused: requests for which no worker was available, warm-up included.
+    :ivar told: condition reports, each delivered to every caller.
+    :ivar seconds: latencies of the successful requests after the warm-up.
     """
 
-    to_sick: int = 0
+    to_unhealthy: int = 0
     sent: int = 0
     failed: int = 0
     refused: int = 0
@@ -89,20 +92,20 @@
 
     @property
     def sick_share(self) -> float:
-        """Part of the requests that went to sick workers."""
-        return self.to_sick / max(1, self.sent)
+        """Fraction of requests that went to unhealthy workers."""
+        return self.to_unhealthy / max(1, self.sent)
 
-    def quantile(self, part: float) -> float:
-        """Return the seconds within which a part of the requests were answered."""
+    def quantile(self, fraction: float) -> float:
+        """Return the latency, in seconds, that a fraction of the requests stay within."""
         ordered = sorted(self.seconds)
-        return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+        return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 @dataclass(eq=False)
 class _Worker:
     node: str
     speed: float
-    failing: float
+    failure_fraction: float
     condition: WorkerCondition
     sequence: int = 1
     running: int = 0
@@ -118,73 +121,73 @@
 @dataclass(eq=False)
 class _Request:
     caller: int
-    began_at: float
-    tried: set[str] = field(default_factory=set)
+    started_at: float
+    tried_nodes: set[str] = field(default_factory=set)
     refusals: int = 0
-    typical: float = 0.0
+    expected_seconds: float = 0.0
     destination: Destination | None = None
 
 
 class Trial:
-    """One play of a shape with a seed."""
+    """Simulation of a shape with a seed."""
 
     def __init__(self, shape: Shape, seed: int) -> None:
         self._shape = shape
         self._random = Random(seed)
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = count()
+        self._event_numbers = count()
         self.outcome = Outcome()
-        sick = set(
+        unhealthy_numbers = set(
             self._random.sample(range(shape.workers), round(shape.sick_part * shape.workers))
         )
-        self._sick = {f"worker-{number}" for number in sick}
+        self._unhealthy_nodes = {f"worker-{number}" for number in unhealthy_numbers}
         self._workers = {
-            f"worker-{number}": self._worker(number) for number in range(shape.workers)
+            f"worker-{number}": self._new_worker(number) for number in range(shape.workers)
         }
-        whole = MemberDelta(True, [self._member(worker) for worker in self._workers.values()])
-        self._callers = [self._caller(number, whole) for number in range(shape.callers)]
-        self._times = [ExpectedLatencies() for _ in range(shape.callers)]
-        self._rate = shape.load * shape.workers * shape.slots / shape.work_seconds
+        full_list = MemberDelta(
+            True, [self._member_record(worker) for worker in self._workers.values()]
+        )
+        self._callers = [self._new_caller(number, full_list) for number in range(shape.callers)]
+        self._expected_latencies = [ExpectedLatencies() for _ in range(shape.callers)]
+        self._arrival_rate = shape.load * shape.workers * shape.slots / shape.work_seconds
 
     def play(self) -> Outcome:
-        """Return what became of the requests."""
-        self._at(0.0, self._next_request)
+        """Run the simulation and return its results."""
+        self._schedule(0.0, self._send_next_request)
         while self._events:
             self._now, _, action = heapq.heappop(self._events)
             action()
         return self.outcome
 
-    def _at(self, seconds: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (self._now + seconds, next(self._numbers), action))
+    def _schedule(self, seconds: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (self._now + seconds, next(self._event_numbers), action))
 
     def _clock(self) -> float:
         return self._now
 
-    # Parts.
-
-    def _worker(self, number: int) -> _Worker:
+    def _new_worker(self, number: int) -> _Worker:
         node = f"worker-{number}"
-        sick = node in self._sick
-        speed = SPEEDS[number % len(SPEEDS)] / (self._shape.slower if sick else 1.0)
-        failing = self._shape.failing if sick else 0.0
+        is_unhealthy = node in self._unhealthy_nodes
+        speed = SPEEDS[number % len(SPEEDS)] / (self._shape.slower if is_unhealthy else 1.0)
+        failure_fraction = self._shape.failing if is_unhealthy else 0.0
 
-        def news(_condition: Condition) -> None:
-            self._tell(node)
+        def on_report(_condition: Condition) -> None:
+            self._send_report(node)
 
-        return _Worker(node, speed, failing, WorkerCondition(self._clock, news))
+        return _Worker(node, speed, failure_fraction, WorkerCondition(self._clock, on_report))
 
-    def _caller(self, number: int, whole: MemberDelta) -> _Caller:
+    def _new_caller(self, number: int, full_list: MemberDelta) -> _Caller:
         random = Random(self._random.random())
         name, zone = f"caller-{number}", ZONES[number % len(ZONES)]
         destinations = Destinations(self._clock, name)
-        destinations.apply(whole)
+        destinations.apply(full_list)
         choice = WorkerChoice(destinations, self._clock, random, name, zone)
         return _Caller(destinations, choice)
 
-    def _member(self, worker: _Worker) -> Member:
+    def _member_record(self, worker: _Worker) -> Member:
         number = int(worker.node.rpartition("-")[2])
-        told = worker.condition.reported
+        condition = worker.condition.reported
         return Member(
             incarnation=1,
             sequence=worker.sequence,
@@ -195,48 +198,46 @@
             zone=ZONES[number % len(ZONES)],
             address=f"10.0.0.{number + 1}:80",
             instance=worker.node,
-            faults=told.wire_faults,
-            slowness=told.wire_slowness,
+            faults=condition.wire_faults,
+            slowness=condition.wire_slowness,
         )
 
-    def _tell(self, node: str) -> None:
+    def _send_report(self, node: str) -> None:
         if not self._shape.told:
             return
         worker = self._workers[node]
         self.outcome.told += 1
         worker.sequence += 1
-        delta = MemberDelta(False, [self._member(worker)])
+        delta = MemberDelta(False, [self._member_record(worker)])
 
-        def arrive() -> None:
+        def deliver() -> None:
             for caller in self._callers:
                 caller.destinations.apply(delta)
 
-        self._at(CONTROL_SECONDS, arrive)
+        self._schedule(REPORT_DELAY_SECONDS, deliver)
 
-    # Requests.
-
-    def _next_request(self) -> None:
+    def _send_next_request(self) -> None:
         self._send(_Request(self._random.randrange(self._shape.callers), self._now))
         if self._now < self._shape.seconds:
-            self._at(self._random.expovariate(self._rate), self._next_request)
+            self._schedule(self._random.expovariate(self._arrival_rate), self._send_next_request)
 
     def _send(self, request: _Request) -> None:
         caller = self._callers[request.caller]
-        destination = caller.choice.choose(SERVICE, request.tried, _PRIORITY)
+        destination = caller.choice.choose(SERVICE, request.tried_nodes, _PRIORITY)
         if destination is None:
             self.outcome.refused += 1
             return
-        request.tried.add(destination.node)
+        request.tried_nodes.add(destination.node)
         request.destination = destination
-        request.typical = self._times[request.caller].of(ROUTE)
+        request.expected_seconds = self._expected_latencies[request.caller].of(ROUTE)
         destination.record_sent()
         worker = self._workers[destination.node]
-        self._at(HOP_SECONDS, lambda: self._arrive(worker, request))
+        self._schedule(HOP_SECONDS, lambda: self._on_arrival(worker, request))
 
-    def _arrive(self, worker: _Worker, request: _Request) -> None:
+    def _on_arrival(self, worker: _Worker, request: _Request) -> None:
         if self._now > WARM_UP_SECONDS:
             self.outcome.sent += 1
-            self.outcome.to_sick += worker.node in self._sick
+            self.outcome.to_unhealthy += worker.node in self._unhealthy_nodes
         if worker.running < self._shape.slots:
             self._run(worker, request)
         else:
@@ -244,22 +245,24 @@
 
     def _run(self, worker: _Worker, request: _Request) -> None:
         worker.running += 1
-        failed = self._random.random() < worker.failing
-        drawn = self._random.lognormvariate(0, WORK_SPREAD) / _MEAN_OF_SPREAD
-        seconds = HOP_SECONDS if failed else drawn * self._shape.work_seconds / worker.speed
-        self._at(seconds, lambda: self._ended(worker, request, failed, seconds))
+        failed = self._random.random() < worker.failure_fraction
+        run_factor = self._random.lognormvariate(0, RUN_TIME_SIGMA) / _RUN_TIME_MEAN
+        seconds = HOP_SECONDS if failed else run_factor * self._shape.work_seconds / worker.speed
+        self._schedule(seconds, lambda: self._on_run_end(worker, request, failed, seconds))
 
-    def _ended(self, worker: _Worker, request: _Request, failed: bool, seconds: float) -> None:
+    def _on_run_end(self, worker: _Worker, request: _Request, failed: bool, seconds: float) -> None:
         worker.running -= 1
-        known = request.typical > 0 and not failed
-        worker.condition.run_ended(failed, ratio_to(request.typical, seconds) if known else None)
+        has_expected_latency = request.expected_seconds > 0 and not failed
+        worker.condition.run_ended(
+            failed, ratio_to(request.expected_seconds, seconds) if has_expected_latency else None
+        )
         if worker.queue:
             self._run(worker, worker.queue.pop(0))
-        told = worker.condition.now() if self._shape.told else Condition()
-        load = Load(worker.running, len(worker.queue), self._shape.slots, told)
-        self._at(HOP_SECONDS, lambda: self._answered(request, failed, seconds, load))
+        condition = worker.condition.now() if self._shape.told else Condition()
+        load = Load(worker.running, len(worker.queue), self._shape.slots, condition)
+        self._schedule(HOP_SECONDS, lambda: self._on_answer(request, failed, seconds, load))
 
-    def _answered(self, request: _Request, failed: bool, seconds: float, load: Load) -> None:
+    def _on_answer(self, request: _Request, failed: bool, seconds: float, load: Load) -> None:
         destination = request.destination
         assert destination is not None
         destination.record_finished()
@@ -267,7 +270,7 @@
         if failed:
             self.outcome.failed += 1
             return
-        ratio = self._times[request.caller].ratio(ROUTE, seconds)
+        ratio = self._expected_latencies[request.caller].ratio(ROUTE, seconds)
         destination.slowness.sample(self._now, ratio)
         if self._now > WARM_UP_SECONDS:
-            self.outcome.seconds.append(self._now - request.began_at)
+            self.outcome.seconds.append(self._now - request.started_at)
--- a/src/cranklane_lab/fleet/__init__.py
+++ b/src/cranklane_lab/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of real processes on this machine's loopback addresses."""
+"""Starts deployments as processes on loopback addresses."""
--- a/src/cranklane_lab/fleet/mesh_flags.py
+++ b/src/cranklane_lab/fleet/mesh_flags.py
@@ -1,4 +1,4 @@
-"""Ports and flags of controllers and sidecars that are started as processes."""
+"""Ports and command-line flags of controller and sidecar processes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True)
 class MeshPorts:
-    """Ports that are alike on all hosts of one mesh."""
+    """Ports of a mesh; all its hosts use the same ones."""
 
     peer: int = field(default_factory=free_port)
     http: int = field(default_factory=free_port)
@@ -21,7 +21,7 @@
     def controller(self, name: str, host: str, data: str, seeds: str) -> dict[str, str]:
         """Return the flags of a controller on a host.
 
-        :param seeds: operators' addresses of some controllers.
+        :param seeds: comma-separated HTTP addresses of some controllers.
         """
         return {
             "name": name,
--- a/src/cranklane_lab/fleet/processes.py
+++ b/src/cranklane_lab/fleet/processes.py
@@ -1,4 +1,4 @@
-"""Starts, watches and ends processes; each ends when this one does."""
+"""Starts and controls child processes, which the kernel kills when this process exits."""
 
 from __future__ import annotations
 
@@ -26,11 +26,13 @@
 
 
 def free_port() -> int:
-    """Return a loopback port that nothing listens on and no one was given before.
+    """Return an unused loopback port; ports repeat only after the whole range was returned.
 
-    The ports lie below the range the kernel takes for outgoing connections:
-    nodes share their ports on purpose (SO_REUSEPORT), so a clash would show no
-    error and send requests to the wrong process.
+    The range lies below the kernel's range for outgoing connections. Nodes bind with
+    SO_REUSEPORT, so a port conflict would raise no error and send requests to the wrong
+    process.
+
+    :raises RuntimeError: if no port is free.
     """
     for port in _ports:
         with socket.socket() as probe:
@@ -39,16 +41,16 @@
             except OSError:
                 continue
             return port
-    raise RuntimeError("no free port is left")
+    raise RuntimeError("no free loopback port")
 
 
-def _end_with_parent() -> None:
+def _kill_with_parent() -> None:
     ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 @dataclass
 class FleetProcess:
-    """One process of the fleet."""
+    """Child process with its log file."""
 
     name: str
     process: subprocess.Popen
@@ -56,40 +58,40 @@
 
     @property
     def pid(self) -> int:
-        """Process number."""
+        """Process ID."""
         return int(self.process.pid)
 
     @property
     def alive(self) -> bool:
-        """Whether it still runs."""
+        """Whether the process has not exited."""
         return self.process.poll() is None
 
     def kill(self) -> None:
-        """End it at once."""
+        """Kill the process and wait for its exit."""
         self.process.kill()
         self.process.wait()
 
     def freeze(self) -> None:
-        """Stop it from running, without anybody being told."""
+        """Suspend the process; its connections stay open."""
         self.process.send_signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let it run on."""
+        """Resume the suspended process."""
         self.process.send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask it to stop as planned."""
+        """Request a planned stop with SIGTERM."""
         self.process.terminate()
 
     def resident_bytes(self) -> int:
-        """Return its resident memory."""
+        """Return the resident memory in bytes, or 0 if unknown."""
         for line in Path(f"/proc/{self.pid}/status").read_text().splitlines():
             if line.startswith("VmRSS:"):
                 return int(line.split()[1]) * 1024
         return 0
 
     def cpu_seconds(self) -> float:
-        """Return the processor time it has used, user and system."""
+        """Return the user and system CPU time."""
         fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / 100
 
@@ -97,9 +99,9 @@
 def start(
     name: str, module: str, arguments: list[str], folder: Path, source: Path | None = None
 ) -> FleetProcess:
-    """Start ``python -m module``; its output goes to a log file in the folder.
+    """Start ``python -m module`` and append its output to a log file in ``folder``.
 
-    :param source: source tree to run from; None: the one that is installed.
+    :param source: source tree to run from; None: the installed one.
     """
     environment = {**os.environ, "PYTHONPATH": str(source)} if source is not None else None
     folder.mkdir(parents=True, exist_ok=True)
@@ -110,7 +112,7 @@
             stdout=output,
             stderr=output,
             stdin=subprocess.DEVNULL,
-            preexec_fn=_end_with_parent,
+            preexec_fn=_kill_with_parent,
             env=environment,
         )
     return FleetProcess(name, process, log)
--- a/src/cranklane_lab/fleet/site.py
+++ b/src/cranklane_lab/fleet/site.py
@@ -1,4 +1,4 @@
-"""One deployment as processes: control, an edge, and workers with their nodes."""
+"""Runs a deployment as processes: control, ledgers, an edge, and workers with their nodes."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass
 class WorkerPair:
-    """A worker and the node beside it."""
+    """A worker and its local node."""
 
     service: str
     worker: FleetProcess
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class ControlAddresses:
-    """Where one control process is reached."""
+    """Addresses of a control process."""
 
     listen: Address
     http: Address
@@ -42,7 +42,7 @@
 
 @dataclass
 class Site:
-    """A running deployment."""
+    """Processes and addresses of a running deployment."""
 
     deployment: Deployment
     folder: Path
@@ -55,7 +55,7 @@
 
     def operator(self) -> OperatorClient:
         """Return a client of the operator interface."""
-        addresses = [format_address(item.http) for item in self.control_addresses]
+        addresses = [format_address(control.http) for control in self.control_addresses]
         return OperatorClient(addresses, OPERATOR_TOKEN)
 
     def processes(self) -> list[FleetProcess]:
@@ -63,12 +63,12 @@
         pairs = [process for pair in self.pairs for process in (pair.worker, pair.node)]
         return [*self.controls, *self.ledgers, self.edge, *pairs]
 
-    def of(self, service: str) -> list[WorkerPair]:
-        """Return the pairs of one service."""
+    def pairs_of(self, service: str) -> list[WorkerPair]:
+        """Return the pairs of a service."""
         return [pair for pair in self.pairs if pair.service == service]
 
     def stop(self) -> None:
-        """End every process."""
+        """Kill all processes and wait for their exit."""
         for process in self.processes():
             if process.alive:
                 process.process.kill()
@@ -76,51 +76,54 @@
             process.process.wait()
 
 
-def loopback() -> Address:
-    """Return a free loopback address."""
+def free_loopback_address() -> Address:
+    """Return a loopback address with an unused port."""
     return LOOPBACK, free_port()
 
 
-def new_addresses(count: int) -> list[ControlAddresses]:
-    """Return free addresses for some control processes."""
-    return [ControlAddresses(loopback(), loopback()) for _ in range(count)]
+def free_control_addresses(count: int) -> list[ControlAddresses]:
+    """Return unused addresses for ``count`` control processes."""
+    return [
+        ControlAddresses(free_loopback_address(), free_loopback_address()) for _ in range(count)
+    ]
 
 
 def start_control(
     deployment: Deployment,
     folder: Path,
     name: str,
-    own: ControlAddresses,
+    addresses: ControlAddresses,
     group: list[ControlAddresses],
     founder: bool,
     voter: bool = True,
 ) -> FleetProcess:
-    """Start a control process, or its replacement at the same addresses.
+    """Start or restart a control process.
 
-    :param group: the addresses of all control processes.
-    :param voter: whether it votes, or only follows and serves nodes.
+    :param group: addresses of all control processes.
+    :param founder: whether the process bootstraps a new group.
+    :param voter: whether the process votes; a learner only follows and serves nodes.
     """
     digest = hashlib.sha256(OPERATOR_TOKEN.encode()).hexdigest()
     flags = {
         "name": name,
         "zone": deployment.zones[0],
-        "listen": format_address(own.listen),
-        "http": format_address(own.http),
+        "listen": format_address(addresses.listen),
+        "http": format_address(addresses.http),
         "data": str(folder / name),
         "operators": f"lab:*:{digest}",
-        "replicas": _joined([item.listen for item in group]),
+        "replicas": _join_addresses([control.listen for control in group]),
         "founder": "yes" if founder else "no",
         "voter": "yes" if voter else "no",
     }
-    return start(name, "cranklane.cli.entry", ["control", *_flags(flags)], folder)
+    return start(name, "cranklane.cli.entry", ["control", *_as_flags(flags)], folder)
 
 
-def _joined(addresses: list[Address]) -> str:
+def _join_addresses(addresses: list[Address]) -> str:
     return ",".join(format_address(address) for address in addresses)
 
 
-def _flags(values: dict[str, str]) -> list[str]:
-    return [part for key, value in values.items() for part in (f"--{key}", value)]
+def _as_flags(values: dict[str, str]) -> list[str]:
+    return [argument for key, value in values.items() for argument in (f"--{key}", value)]
 
 
 def start_edge(
@@ -130,11 +133,11 @@
     flags = {
         "name": name,
         "zone": deployment.zones[0],
-        "controls": _joined(controls),
+        "controls": _join_addresses(controls),
         "http": format_address(http),
         "data": str(folder / name),
     }
-    return start(name, "cranklane.cli.entry", ["edge", *_flags(flags)], folder)
+    return start(name, "cranklane.cli.entry", ["edge", *_as_flags(flags)], folder)
 
 
 def start_ledger(
@@ -144,9 +147,10 @@
     group: list[Address],
     number: int,
 ) -> FleetProcess:
-    """Start one replica of a ledger group.
+    """Start a replica of the ledger group.
 
-    :param group: the addresses of all its replicas.
+    :param group: addresses of all replicas.
+    :param number: index of the replica in ``group``.
     """
     name = f"{deployment.name}-ledger-{number}"
     flags = {
@@ -154,20 +158,24 @@
         "zone": deployment.zones[number % len(deployment.zones)],
         "group": "main",
         "listen": format_address(group[number]),
-        "controls": _joined(controls),
+        "controls": _join_addresses(controls),
         "data": str(folder / name),
-        "replicas": _joined(group),
+        "replicas": _join_addresses(group),
         "founder": "yes" if number == 0 else "no",
     }
-    return start(name, "cranklane.cli.entry", ["ledger", *_flags(flags)], folder)
+    return start(name, "cranklane.cli.entry", ["ledger", *_as_flags(flags)], folder)
 
 
 def start_pair(
     deployment: Deployment, folder: Path, controls: list[Address], service: str, number: int
 ) -> WorkerPair:
-    """Start a worker and its node."""
+    """Start a worker with its local node."""
     name = f"{deployment.name}-{service}-{number}"
-    worker_address, node_http, admin = loopback(), loopback(), loopback()
+    worker_address, node_http, admin = (
+        free_loopback_address(),
+        free_loopback_address(),
+        free_loopback_address(),
+    )
     worker_arguments = [deployment.name, service, name]
     worker_arguments += [format_address(worker_address), format_address(node_http)]
     worker = start(f"{name}-worker", "cranklane_lab.standins.worker_main", worker_arguments, folder)
@@ -176,31 +184,31 @@
         "tenant": deployment.name,
         "service": service,
         "zone": deployment.zones[number % len(deployment.zones)],
-        "controls": _joined(controls),
+        "controls": _join_addresses(controls),
         "http": format_address(node_http),
         "worker": format_address(worker_address),
         "admin": format_address(admin),
         "data": str(folder / name),
         "stop-seconds": "20",
     }
-    node = start(name, "cranklane.cli.entry", ["node", *_flags(flags)], folder)
+    node = start(name, "cranklane.cli.entry", ["node", *_as_flags(flags)], folder)
     return WorkerPair(service, worker, node, worker_address, node_http, admin)
 
 
 def start_site(deployment: Deployment, folder: Path, controls: int = 3, ledgers: int = 3) -> Site:
-    """Start a whole deployment; returns before its processes are ready."""
-    group = new_addresses(controls)
-    listen = [item.listen for item in group]
+    """Start all processes of a deployment without waiting until they are ready."""
+    group = free_control_addresses(controls)
+    listen = [control.listen for control in group]
     processes = [
         start_control(
-            deployment, folder, f"{deployment.name}-control-{number}", own, group, number == 0
+            deployment, folder, f"{deployment.name}-control-{number}", addresses, group, number == 0
         )
-        for number, own in enumerate(group)
+        for number, addresses in enumerate(group)
     ]
-    edge_http = loopback()
+    edge_http = free_loopback_address()
     edge = start_edge(deployment, folder, listen, edge_http, f"{deployment.name}-edge")
     site = Site(deployment, folder, processes, group, edge, edge_http)
-    ledger_group = [loopback() for _ in range(ledgers)]
+    ledger_group = [free_loopback_address() for _ in range(ledgers)]
     site.ledgers = [
         start_ledger(deployment, folder, listen, ledger_group, number) for number in range(ledgers)
     ]
@@ -211,12 +219,12 @@
 
 
 def wait_for_members(site: Site, count: int) -> bool:
-    """Wait until control knows ``count`` nodes; return False when it takes too long."""
+    """Wait until ``count`` nodes have joined; return whether they did in time."""
     with gevent.Timeout(START_TIMEOUT_SECONDS, False):
         while True:
             result = site.operator().call("GET", "/v1/status")
             if isinstance(result, Ok):
-                members = [item for item in result.ok_value["members"] if item["service"]]
+                members = [member for member in result.ok_value["members"] if member["service"]]
                 if len(members) >= count:
                     return True
             gevent.sleep(0.2)
@@ -224,7 +232,7 @@
 
 
 def wait_until_serving(site: Site) -> bool:
-    """Wait until the edge answers every kind of request."""
+    """Wait until the edge serves every kind of request; return whether it did in time."""
     deployment = site.deployment
     client = Client(RealRuntime(), site.edge_http, deployment.name, deployment.token)
     try:
--- a/src/cranklane_lab/latency.py
+++ b/src/cranklane_lab/latency.py
@@ -79,7 +79,7 @@
     def __init__(self, site: Site) -> None:
         self._site = site
         self._runtime = RealRuntime()
-        caller, self._callee = site.of("caller")[0], site.of("callee")[0]
+        caller, self._callee = site.pairs_of("caller")[0], site.pairs_of("callee")[0]
         self._nodes: list[FleetProcess] = [caller.node, self._callee.node]
         self._direct = HttpClient(self._runtime, self._callee.worker_address)
         self._through = HttpClient(self._runtime, caller.node_http)
