--- a/src/cranklane_lab/evidence/report.py
+++ b/src/cranklane_lab/evidence/report.py
@@ -15,9 +15,11 @@
     """Simulate variants of a shape; yield one line per variant."""
     variants = {
         "slow, shared reports": shape,
-        "slow, no reports": replace(shape, told=False),
+        "slow, no reports": replace(shape, shared_reports=False),
         "failing, shared reports": replace(shape, slower=1.0, failing=FAILURE_FRACTION),
-        "failing, no reports": replace(shape, slower=1.0, failing=FAILURE_FRACTION, told=False),
+        "failing, no reports": replace(
+            shape, slower=1.0, failing=FAILURE_FRACTION, shared_reports=False
+        ),
         "all well": replace(shape, sick_part=0.0),
     }
     for name, variant in variants.items():
@@ -25,5 +27,5 @@
         yield (
             f"{name:<27} to unhealthy workers {outcome.sick_share:7.2%}"
             f"  p99 {outcome.quantile(0.99) * 1000:6.0f} ms"
-            f"  failed {outcome.failed:4}  reports {outcome.told:4}"
+            f"  failed {outcome.failed:4}  reports {outcome.shared_reports:4}"
         )
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -56,7 +56,7 @@
     :ivar sick_part: fraction of workers that are unhealthy.
     :ivar slower: factor by which an unhealthy worker is slower.
     :ivar failing: fraction of runs that fail at an unhealthy worker, after ``HOP_SECONDS``.
-    :ivar told: whether sidecars report the condition of their workers to the callers.
+    :ivar shared_reports: whether sidecars report the condition of their workers to the callers.
     """
 
     callers: int
@@ -68,7 +68,7 @@
     sick_part: float = 0.15
     slower: float = 5.0
     failing: float = 0.0
-    told: bool = True
+    shared_reports: bool = True
 
 
 @dataclass
@@ -79,7 +79,7 @@
     :ivar sent: all requests that reached workers after the warm-up.
     :ivar failed: failed runs, warm-up included.
     :ivar refused: requests for which no worker was available, warm-up included.
-    :ivar told: condition reports, each delivered to every caller.
+    :ivar shared_reports: condition reports, each delivered to every caller.
     :ivar seconds: latencies of the successful requests after the warm-up.
     """
 
@@ -87,7 +87,7 @@
     sent: int = 0
     failed: int = 0
     refused: int = 0
-    told: int = 0
+    shared_reports: int = 0
     seconds: list[float] = field(default_factory=list)
 
     @property
@@ -203,10 +203,10 @@
         )
 
     def _send_report(self, node: str) -> None:
-        if not self._shape.told:
+        if not self._shape.shared_reports:
             return
         worker = self._workers[node]
-        self.outcome.told += 1
+        self.outcome.shared_reports += 1
         worker.sequence += 1
         delta = MemberDelta(False, [self._member_record(worker)])
 
@@ -258,7 +258,7 @@
         )
         if worker.queue:
             self._run(worker, worker.queue.pop(0))
-        condition = worker.condition.now() if self._shape.told else Condition()
+        condition = worker.condition.now() if self._shape.shared_reports else Condition()
         load = Load(worker.running, len(worker.queue), self._shape.slots, condition)
         self._schedule(HOP_SECONDS, lambda: self._on_answer(request, failed, seconds, load))
 
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -41,29 +41,29 @@
 
 
 def test_without_the_word_of_their_own_sidecars_slow_workers_get_more():
-    told = Trial(LARGE, 1).play().sick_share
-    assert Trial(replace(LARGE, told=False), 1).play().sick_share > 2 * told
+    shared_reports = Trial(LARGE, 1).play().sick_share
+    assert Trial(replace(LARGE, shared_reports=False), 1).play().sick_share > 2 * shared_reports
 
 
 def test_few_requests_go_to_workers_that_fail():
-    told = Trial(FAILING, 1).play()
-    untold = Trial(replace(FAILING, told=False), 1).play()
-    assert told.sick_share < 0.02
+    shared_reports = Trial(FAILING, 1).play()
+    untold = Trial(replace(FAILING, shared_reports=False), 1).play()
+    assert shared_reports.sick_share < 0.02
     assert untold.sick_share > 0.1
 
 
 def test_a_service_that_is_well_costs_next_to_no_messages():
     outcome = Trial(replace(LARGE, sick_part=0.0), 1).play()
-    assert outcome.told < 0.01 * len(outcome.seconds)
+    assert outcome.shared_reports < 0.01 * len(outcome.seconds)
 
 
 def test_a_service_half_of_which_is_sick_refuses_nothing():
     half = replace(LARGE, sick_part=0.5, load=0.3, seconds=6.0)
-    told = Trial(half, 1).play()
-    untold = Trial(replace(half, told=False), 1).play()
-    assert told.refused == 0
-    assert told.sick_share < 0.75 * untold.sick_share
-    assert told.quantile(0.9) < untold.quantile(0.9)
+    shared_reports = Trial(half, 1).play()
+    untold = Trial(replace(half, shared_reports=False), 1).play()
+    assert shared_reports.refused == 0
+    assert shared_reports.sick_share < 0.75 * untold.sick_share
+    assert shared_reports.quantile(0.9) < untold.quantile(0.9)
 
 
 def test_callers_are_told_once_of_a_worker_that_turns_slow_and_once_that_it_is_well():
