--- a/src/cranklane_lab/evidence/report.py
+++ b/src/cranklane_lab/evidence/report.py
@@ -20,7 +20,7 @@
         "failing, no reports": replace(
             shape, slower=1.0, failing=FAILURE_FRACTION, shared_reports=False
         ),
-        "all well": replace(shape, sick_part=0.0),
+        "all well": replace(shape, unhealthy_fraction=0.0),
     }
     for name, variant in variants.items():
         outcome = Trial(variant, seed).play()
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -53,7 +53,7 @@
     :ivar work_seconds: mean run time at a worker of speed 1.
     :ivar load: busy fraction of all slots if every worker is healthy.
     :ivar seconds: simulated time.
-    :ivar sick_part: fraction of workers that are unhealthy.
+    :ivar unhealthy_fraction: fraction of workers that are unhealthy.
     :ivar slower: factor by which an unhealthy worker is slower.
     :ivar failing: fraction of runs that fail at an unhealthy worker, after ``HOP_SECONDS``.
     :ivar shared_reports: whether sidecars report the condition of their workers to the callers.
@@ -65,7 +65,7 @@
     work_seconds: float
     load: float
     seconds: float = 12.0
-    sick_part: float = 0.15
+    unhealthy_fraction: float = 0.15
     slower: float = 5.0
     failing: float = 0.0
     shared_reports: bool = True
@@ -139,7 +139,9 @@
         self._event_numbers = count()
         self.outcome = Outcome()
         unhealthy_numbers = set(
-            self._random.sample(range(shape.workers), round(shape.sick_part * shape.workers))
+            self._random.sample(
+                range(shape.workers), round(shape.unhealthy_fraction * shape.workers)
+            )
         )
         self._unhealthy_nodes = {f"worker-{number}" for number in unhealthy_numbers}
         self._workers = {
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -53,12 +53,12 @@
 
 
 def test_a_service_that_is_well_costs_next_to_no_messages():
-    outcome = Trial(replace(LARGE, sick_part=0.0), 1).play()
+    outcome = Trial(replace(LARGE, unhealthy_fraction=0.0), 1).play()
     assert outcome.shared_reports < 0.01 * len(outcome.seconds)
 
 
 def test_a_service_half_of_which_is_sick_refuses_nothing():
-    half = replace(LARGE, sick_part=0.5, load=0.3, seconds=6.0)
+    half = replace(LARGE, unhealthy_fraction=0.5, load=0.3, seconds=6.0)
     shared_reports = Trial(half, 1).play()
     untold = Trial(replace(half, shared_reports=False), 1).play()
     assert shared_reports.refused == 0
