--- a/src/cranklane_lab/evidence/report.py
+++ b/src/cranklane_lab/evidence/report.py
@@ -25,7 +25,7 @@
     for name, variant in variants.items():
         outcome = Trial(variant, seed).play()
         yield (
-            f"{name:<27} to unhealthy workers {outcome.sick_share:7.2%}"
+            f"{name:<27} to unhealthy workers {outcome.unhealthy_share:7.2%}"
             f"  p99 {outcome.quantile(0.99) * 1000:6.0f} ms"
             f"  failed {outcome.failed:4}  reports {outcome.shared_reports:4}"
         )
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -91,7 +91,7 @@
     seconds: list[float] = field(default_factory=list)
 
     @property
-    def sick_share(self) -> float:
+    def unhealthy_share(self) -> float:
         """Fraction of requests that went to unhealthy workers."""
         return self.to_unhealthy / max(1, self.sent)
 
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -37,19 +37,21 @@
 
 @pytest.mark.parametrize("shape", [LARGE, SMALL], ids=["large", "small"])
 def test_few_requests_go_to_slow_workers_at_any_number_of_callers(shape):
-    assert Trial(shape, 1).play().sick_share < 0.036
+    assert Trial(shape, 1).play().unhealthy_share < 0.036
 
 
 def test_without_the_word_of_their_own_sidecars_slow_workers_get_more():
-    shared_reports = Trial(LARGE, 1).play().sick_share
-    assert Trial(replace(LARGE, shared_reports=False), 1).play().sick_share > 2 * shared_reports
+    shared_reports = Trial(LARGE, 1).play().unhealthy_share
+    assert (
+        Trial(replace(LARGE, shared_reports=False), 1).play().unhealthy_share > 2 * shared_reports
+    )
 
 
 def test_few_requests_go_to_workers_that_fail():
     shared_reports = Trial(FAILING, 1).play()
     untold = Trial(replace(FAILING, shared_reports=False), 1).play()
-    assert shared_reports.sick_share < 0.02
-    assert untold.sick_share > 0.1
+    assert shared_reports.unhealthy_share < 0.02
+    assert untold.unhealthy_share > 0.1
 
 
 def test_a_service_that_is_well_costs_next_to_no_messages():
@@ -62,7 +64,7 @@
     shared_reports = Trial(half, 1).play()
     untold = Trial(replace(half, shared_reports=False), 1).play()
     assert shared_reports.refused == 0
-    assert shared_reports.sick_share < 0.75 * untold.sick_share
+    assert shared_reports.unhealthy_share < 0.75 * untold.unhealthy_share
     assert shared_reports.quantile(0.9) < untold.quantile(0.9)
 
 
