--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -54,7 +54,7 @@
     :ivar load: busy fraction of all slots if every worker is healthy.
     :ivar seconds: simulated time.
     :ivar unhealthy_fraction: fraction of workers that are unhealthy.
-    :ivar slower: factor by which an unhealthy worker is slower.
+    :ivar slowdown_factor: factor by which an unhealthy worker is slower.
     :ivar failing: fraction of runs that fail at an unhealthy worker, after ``HOP_SECONDS``.
     :ivar shared_reports: whether sidecars report the condition of their workers to the callers.
     """
@@ -66,7 +66,7 @@
     load: float
     seconds: float = 12.0
     unhealthy_fraction: float = 0.15
-    slower: float = 5.0
+    slowdown_factor: float = 5.0
     failing: float = 0.0
     shared_reports: bool = True
 
@@ -171,7 +171,9 @@
     def _new_worker(self, number: int) -> _Worker:
         node = f"worker-{number}"
         is_unhealthy = node in self._unhealthy_nodes
-        speed = SPEEDS[number % len(SPEEDS)] / (self._shape.slower if is_unhealthy else 1.0)
+        speed = SPEEDS[number % len(SPEEDS)] / (
+            self._shape.slowdown_factor if is_unhealthy else 1.0
+        )
         failure_fraction = self._shape.failing if is_unhealthy else 0.0
 
         def on_report(_condition: Condition) -> None:
