--- a/src/cranklane_lab/simulate.py
+++ b/src/cranklane_lab/simulate.py
@@ -13,13 +13,13 @@
 from cranklane_lab.scenarios.library import SCENARIOS
 
 
-def quiet() -> None:
+def disable_logging() -> None:
     """Discard all log lines."""
     write_lines_to(None)
 
 
 def _run(arguments: tuple[str, int, tuple[str, ...]]) -> Result:
-    quiet()
+    disable_logging()
     name, seed, switched_off = arguments
     return run_seed(SCENARIOS[name], seed, switched_off)
 
