--- a/src/cranklane_lab/replay/run.py
+++ b/src/cranklane_lab/replay/run.py
@@ -9,12 +9,12 @@
 from cranklane_lab.replay.generate import random_trace, shrink
 from cranklane_lab.replay.player import Played, play
 from cranklane_lab.replay.trace import Trace, TraceError, read
-from cranklane_lab.simulate import disable_logging
+from cranklane_lab.simulate import quiet
 
 
 def replay(path: Path, switched_off: tuple[str, ...] = ()) -> int:
     """Play a trace file; return 1 when a promise or a stated outcome does not hold."""
-    disable_logging()
+    quiet()
     try:
         trace = read(path)
     except TraceError as error:
@@ -31,7 +31,7 @@
 
 
 def _play_seed(arguments: tuple[int, tuple[str, ...]]) -> Played:
-    disable_logging()
+    quiet()
     seed, switched_off = arguments
     return play(random_trace(seed), switched_off)
 
@@ -41,7 +41,7 @@
     context = multiprocessing.get_context("spawn")
     with context.Pool(min(len(seeds), os.cpu_count() or 1)) as pool:
         results = pool.map(_play_seed, [(seed, switched_off) for seed in seeds], chunksize=1)
-    disable_logging()
+    quiet()
     broken = [
         (seed, played) for seed, played in zip(seeds, results, strict=True) if played.violations
     ]
--- a/src/cranklane_lab/simulate.py
+++ b/src/cranklane_lab/simulate.py
@@ -13,13 +13,13 @@
 from cranklane_lab.scenarios.library import SCENARIOS
 
 
-def disable_logging() -> None:
+def quiet() -> None:
     """Discard all log lines."""
     write_lines_to(None)
 
 
 def _run(arguments: tuple[str, int, tuple[str, ...]]) -> Result:
-    disable_logging()
+    quiet()
     name, seed, switched_off = arguments
     return run_seed(SCENARIOS[name], seed, switched_off)
 
--- a/src/cranklane_lab/trees/report.py
+++ b/src/cranklane_lab/trees/report.py
@@ -6,7 +6,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from statistics import mean
 
-from cranklane_lab.simulate import disable_logging
+from cranklane_lab.simulate import quiet
 from cranklane_lab.trees.drawn import draw
 from cranklane_lab.trees.play import Played, play
 
@@ -16,7 +16,7 @@
 
     :param jobs: processes at once; 0: one for each core.
     """
-    with ProcessPoolExecutor(jobs or None, initializer=disable_logging) as pool:
+    with ProcessPoolExecutor(jobs or None, initializer=quiet) as pool:
         yield from pool.map(play, seeds)
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from cranklane_lab.simulate import disable_logging
+from cranklane_lab.simulate import quiet
 from known_red import pytest_collection_modifyitems, pytest_terminal_summary
 
 __all__ = ["pytest_collection_modifyitems", "pytest_terminal_summary"]
@@ -10,4 +10,4 @@
 
 @pytest.fixture(autouse=True, scope="session")
 def _quiet_logs():
-    disable_logging()
+    quiet()
--- a/tests/test_crashing_requests_seeds.py
+++ b/tests/test_crashing_requests_seeds.py
@@ -118,8 +118,8 @@
 
 
 if __name__ == "__main__":
-    from cranklane_lab.simulate import disable_logging
+    from cranklane_lab.simulate import quiet
 
-    disable_logging()
+    quiet()
     for number in range(int(sys.argv[1]), int(sys.argv[2]) + 1):
         print(number, play_seed(number), flush=True)
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -13,7 +13,7 @@
 from cranklane.common.line_queue import LineQueue
 from cranklane.common.logs import write_lines_to
 from cranklane.common.rate_limit import RateLimit
-from cranklane_lab.simulate import disable_logging
+from cranklane_lab.simulate import quiet
 from mesh_support import each_worker, play
 
 
@@ -26,7 +26,7 @@
     try:
         yield lines
     finally:
-        disable_logging()
+        quiet()
 
 
 def explained(script, tmp_path, request, **options):
