--- a/src/cranklane_lab/evidence/report.py
+++ b/src/cranklane_lab/evidence/report.py
@@ -16,9 +16,11 @@
     variants = {
         "slow, shared reports": shape,
         "slow, no reports": replace(shape, shared_reports=False),
-        "failing, shared reports": replace(shape, slowdown_factor=1.0, failing=FAILURE_FRACTION),
+        "failing, shared reports": replace(
+            shape, slowdown_factor=1.0, failed_run_fraction=FAILURE_FRACTION
+        ),
         "failing, no reports": replace(
-            shape, slowdown_factor=1.0, failing=FAILURE_FRACTION, shared_reports=False
+            shape, slowdown_factor=1.0, failed_run_fraction=FAILURE_FRACTION, shared_reports=False
         ),
         "all well": replace(shape, unhealthy_fraction=0.0),
     }
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -55,7 +55,8 @@
     :ivar seconds: simulated time.
     :ivar unhealthy_fraction: fraction of workers that are unhealthy.
     :ivar slowdown_factor: factor by which an unhealthy worker is slower.
-    :ivar failing: fraction of runs that fail at an unhealthy worker, after ``HOP_SECONDS``.
+    :ivar failed_run_fraction: fraction of runs that fail at an unhealthy worker, each after
+        ``HOP_SECONDS``.
     :ivar shared_reports: whether sidecars report the condition of their workers to the callers.
     """
 
@@ -67,7 +68,7 @@
     seconds: float = 12.0
     unhealthy_fraction: float = 0.15
     slowdown_factor: float = 5.0
-    failing: float = 0.0
+    failed_run_fraction: float = 0.0
     shared_reports: bool = True
 
 
@@ -174,7 +175,7 @@
         speed = SPEEDS[number % len(SPEEDS)] / (
             self._shape.slowdown_factor if is_unhealthy else 1.0
         )
-        failure_fraction = self._shape.failing if is_unhealthy else 0.0
+        failure_fraction = self._shape.failed_run_fraction if is_unhealthy else 0.0
 
         def on_report(_condition: Condition) -> None:
             self._send_report(node)
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -18,7 +18,7 @@
 
 LARGE = Shape(callers=195, workers=93, slots=14, work_seconds=0.16, load=0.08, seconds=8.0)
 SMALL = Shape(callers=17, workers=5, slots=44, work_seconds=0.16, load=0.08)
-FAILING = replace(LARGE, slowdown_factor=1.0, failing=0.45)
+FAILING = replace(LARGE, slowdown_factor=1.0, failed_run_fraction=0.45)
 
 
 class Clock:
