--- a/src/cranklane_lab/evidence/report.py
+++ b/src/cranklane_lab/evidence/report.py
@@ -7,7 +7,7 @@
 
 from cranklane_lab.evidence.trial import Shape, Trial
 
-FAILURE_FRACTION = 0.45
+FAILED_RUN_FRACTION = 0.45
 """Fraction of runs that fail at an unhealthy worker in the failing variants."""
 
 
@@ -17,10 +17,13 @@
         "slow, shared reports": shape,
         "slow, no reports": replace(shape, shared_reports=False),
         "failing, shared reports": replace(
-            shape, slowdown_factor=1.0, failed_run_fraction=FAILURE_FRACTION
+            shape, slowdown_factor=1.0, failed_run_fraction=FAILED_RUN_FRACTION
         ),
         "failing, no reports": replace(
-            shape, slowdown_factor=1.0, failed_run_fraction=FAILURE_FRACTION, shared_reports=False
+            shape,
+            slowdown_factor=1.0,
+            failed_run_fraction=FAILED_RUN_FRACTION,
+            shared_reports=False,
         ),
         "all well": replace(shape, unhealthy_fraction=0.0),
     }
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -106,7 +106,7 @@
 class _Worker:
     node: str
     speed: float
-    failure_fraction: float
+    failed_run_fraction: float
     condition: WorkerCondition
     sequence: int = 1
     running: int = 0
@@ -175,12 +175,12 @@
         speed = SPEEDS[number % len(SPEEDS)] / (
             self._shape.slowdown_factor if is_unhealthy else 1.0
         )
-        failure_fraction = self._shape.failed_run_fraction if is_unhealthy else 0.0
+        failed_run_fraction = self._shape.failed_run_fraction if is_unhealthy else 0.0
 
         def on_report(_condition: Condition) -> None:
             self._send_report(node)
 
-        return _Worker(node, speed, failure_fraction, WorkerCondition(self._clock, on_report))
+        return _Worker(node, speed, failed_run_fraction, WorkerCondition(self._clock, on_report))
 
     def _new_caller(self, number: int, full_list: MemberDelta) -> _Caller:
         random = Random(self._random.random())
@@ -250,7 +250,7 @@
 
     def _run(self, worker: _Worker, request: _Request) -> None:
         worker.running += 1
-        failed = self._random.random() < worker.failure_fraction
+        failed = self._random.random() < worker.failed_run_fraction
         run_factor = self._random.lognormvariate(0, RUN_TIME_SIGMA) / _RUN_TIME_MEAN
         seconds = HOP_SECONDS if failed else run_factor * self._shape.work_seconds / worker.speed
         self._schedule(seconds, lambda: self._on_run_end(worker, request, failed, seconds))
--- a/src/cranklane_lab/soak/site.py
+++ b/src/cranklane_lab/soak/site.py
@@ -75,7 +75,7 @@
         return ",".join(f"127.0.3.{number + 1}:{self._ports.http}" for number in range(CONTROLLERS))
 
     def start_controller(self, number: int, first_start: bool = False, empty: bool = False) -> None:
-        """Start or restarts a controller.
+        """Start or restart a controller.
 
         :param first_start: whether the group starts for the first time.
         :param empty: whether to delete its data first.
@@ -94,7 +94,7 @@
         self.controllers[number] = self._start(name, "controller", flags)
 
     def start_sidecar(self, number: int) -> None:
-        """Start or restarts a sidecar."""
+        """Start or restart a sidecar."""
         name = f"sidecar-{number}"
         host = f"127.0.2.{number + 1}"
         flags = {
@@ -127,7 +127,7 @@
         return worker
 
     def _crash_worker(self, number: int, run: RoutedRun) -> None:
-        """Crash a worker and schedules its restart."""
+        """Crash a worker and schedule its restart."""
         worker = self.workers[number]
         if worker.ended:
             return
@@ -154,7 +154,7 @@
         return [*self.controllers.values(), *self.sidecars.values()]
 
     def stop(self) -> None:
-        """Kill all processes and closes the proxies."""
+        """Kill all processes and close the proxies."""
         for process in self.processes():
             if process.alive:
                 process.thaw()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -108,19 +108,19 @@
 def inject_faults(seed, monkeypatch):
     monkeypatch.setattr("cranklane_lab.soak.faults.gevent.sleep", lambda _seconds: None)
     site = StandInSite()
-    notes = []
-    injector = FaultInjector(site, Random(seed), notes.append)
+    descriptions = []
+    injector = FaultInjector(site, Random(seed), descriptions.append)
     polls = iter(range(120))
     injector.inject_sidecar_faults(lambda: next(polls) >= 40)
     injector.inject_controller_faults(lambda: next(polls) >= 100)
-    return notes, site.log
+    return descriptions, site.log
 
 
 def test_a_seed_determines_the_faults_and_every_kind_occurs(monkeypatch):
-    notes, log = inject_faults(7, monkeypatch)
-    assert (notes, log) == inject_faults(7, monkeypatch)
-    assert notes != inject_faults(8, monkeypatch)[0]
-    kinds = {note.split()[0] for note in notes}
+    descriptions, log = inject_faults(7, monkeypatch)
+    assert (descriptions, log) == inject_faults(7, monkeypatch)
+    assert descriptions != inject_faults(8, monkeypatch)[0]
+    kinds = {description.split()[0] for description in descriptions}
     assert kinds == {"kill", "pause", "stop", "link", "empty"}
 
 
