--- a/src/cranklane_lab/cost/run.py
+++ b/src/cranklane_lab/cost/run.py
@@ -47,7 +47,7 @@
         self._site = site
         self._connection_per_request = connection_per_request
         self._runtime = RealRuntime()
-        self._numbers = count()
+        self._request_numbers = count()
 
     def send(self, requests: int) -> None:
         """Send requests and wait for their responses.
@@ -56,16 +56,16 @@
         """
         requests_per_client = requests // CLIENT_COUNT
         gevent.joinall(
-            [gevent.spawn(self._client, requests_per_client) for _ in range(CLIENT_COUNT)],
+            [gevent.spawn(self._run_client, requests_per_client) for _ in range(CLIENT_COUNT)],
             raise_error=True,
         )
 
-    def _client(self, requests: int) -> None:
+    def _run_client(self, requests: int) -> None:
         connection: RawConnection | None = None
         for _ in range(requests):
             if connection is None:
-                connection = RawConnection(self._runtime, self._site.callers, 10.0)
-            headers = {"Host": HOST, **self._site.headers(f"r{next(self._numbers)}")}
+                connection = RawConnection(self._runtime, self._site.callers_address, 10.0)
+            headers = {"Host": HOST, **self._site.headers(f"r{next(self._request_numbers)}")}
             connection.send(request_bytes("GET", "/read/x", headers))
             answer = connection.answer()
             if answer is None or answer.status != 200:
--- a/src/cranklane_lab/cost/site.py
+++ b/src/cranklane_lab/cost/site.py
@@ -102,7 +102,7 @@
 
     def _serves_requests(self) -> bool:
         headers = {"Host": HOST, **self.headers("probe")}
-        answer = exchange(self._runtime, self.callers, "GET", "/read/x", headers)
+        answer = exchange(self._runtime, self.callers_address, "GET", "/read/x", headers)
         return answer is not None and answer.status == 200
 
     @staticmethod
@@ -114,7 +114,7 @@
             gevent.sleep(0.1)
 
     @property
-    def callers(self) -> tuple[str, int]:
+    def callers_address(self) -> tuple[str, int]:
         """Address of the sidecar that accepts the requests."""
         return self._host(CALLER_SIDECAR_NUMBER), self._ports.callers
 
--- a/src/cranklane_lab/soak/checks.py
+++ b/src/cranklane_lab/soak/checks.py
@@ -22,7 +22,7 @@
 class Observations:
     """Observed responses, reads and runs, and the invariants that they violate.
 
-    :ivar broken: one line per violation.
+    :ivar violations: one line per violation.
     :ivar statuses: number of responses by status; "0" for no response.
     :ivar refused_non_idempotent: ids of non-idempotent requests refused as not run.
     :ivar non_idempotent: ids of all non-idempotent requests.
@@ -30,7 +30,7 @@
     :ivar sent_tables: documents sent by operators, by version.
     """
 
-    broken: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
     statuses: Counter[str] = field(default_factory=Counter)
     refused_non_idempotent: set[str] = field(default_factory=set)
     non_idempotent: set[str] = field(default_factory=set)
@@ -39,7 +39,7 @@
 
     def record_violation(self, text: str) -> None:
         """Record a violated invariant."""
-        self.broken.append(text)
+        self.violations.append(text)
 
     def record_answer(self, request: str, idempotent: bool, answer: RawAnswer | None) -> None:
         """Record the response to a caller's request; None if the connection ended without one."""
--- a/src/cranklane_lab/soak/run.py
+++ b/src/cranklane_lab/soak/run.py
@@ -94,7 +94,7 @@
         return SoakResult(
             self._seed,
             self._seconds,
-            self._observations.broken,
+            self._observations.violations,
             self._request_count,
             dict(self._observations.statuses),
             self._observations.acknowledged_version,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -32,7 +32,7 @@
     observations.record_answer("e", False, None)
     observations.record_read(3, 3)
     observations.check_runs(workers_that_ran("a", "c", "d", "d", "e"))
-    assert observations.broken == []
+    assert observations.violations == []
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
 def test_a_wrong_response_or_a_stale_read_is_a_violation(violate, message):
     observations = Observations()
     violate(observations)
-    assert [message in line for line in observations.broken] == [True]
+    assert [message in line for line in observations.violations] == [True]
 
 
 @pytest.mark.parametrize(
@@ -59,7 +59,7 @@
     observations = Observations()
     observations.record_answer("a", False, answer(status))
     observations.check_runs(workers_that_ran(*ran))
-    assert [message in line for line in observations.broken] == [True]
+    assert [message in line for line in observations.violations] == [True]
 
 
 def workers_that_ran_at(target, *times):
@@ -67,13 +67,13 @@
     return [SimpleNamespace(state=SimpleNamespace(runs=runs))]
 
 
-@pytest.mark.parametrize(("runs_after", "broken"), [(3, 0), (4, 1)])
-def test_a_quarantined_request_may_run_at_most_three_more_times(runs_after, broken):
+@pytest.mark.parametrize(("runs_after", "violations"), [(3, 0), (4, 1)])
+def test_a_quarantined_request_may_run_at_most_three_more_times(runs_after, violations):
     observations = Observations()
     crashes = [Crash(float(at), b"/read/crash") for at in (1, 2, 3)]
     times = [1, 2, 3, 5.9, *(6.1 + n for n in range(runs_after))]
     observations.check_quarantine(crashes, workers_that_ran_at(b"/read/crash", *times))
-    assert len(observations.broken) == broken
+    assert len(observations.violations) == violations
 
 
 class StandInProcess:
