--- a/src/cranklane_lab/simulation/__init__.py
+++ b/src/cranklane_lab/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Simulation: the product's own code on a virtual clock, network and disks."""
+"""Simulator: runs the production code on a virtual clock, network and disks."""
--- a/src/cranklane_lab/simulation/crashes.py
+++ b/src/cranklane_lab/simulation/crashes.py
@@ -1,4 +1,4 @@
-"""Requests that end the worker that runs them, and workers that come back."""
+"""Requests that crash the worker that runs them, and worker restarts."""
 
 from __future__ import annotations
 
@@ -11,52 +11,53 @@
 from cranklane_lab.simulation.mesh import Mesh, MeshMachine
 from cranklane_lab.standins.routed_worker import RoutedRun
 
-BACK_SECONDS = 3.0
-"""A worker that has ended is back after this long."""
+RESTART_DELAY_SECONDS = 3.0
+"""Delay between a worker's crash and its restart."""
 
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """A worker that ended under a request.
+    """A worker crash.
 
-    :ivar target: of the request that ended it.
-    :ivar beside: requests that ran there besides.
+    :ivar at: virtual second of the crash.
+    :ivar target: target of the request that caused it; empty for a crash without one.
+    :ivar in_flight: requests in flight on the worker at the crash.
     """
 
     at: float
     machine: str
     target: bytes
-    beside: int
+    in_flight: int
 
 
 class CrashingRequests:
-    """Lets requests whose target holds a mark end each worker that runs them.
+    """Makes requests whose target contains a mark crash each worker that runs them.
 
-    :ivar crashes: the ends of workers, in their order.
+    :ivar crashes: worker crashes in chronological order.
     """
 
     def __init__(self, mesh: Mesh, mark: bytes = b"/crash") -> None:
         self._mesh = mesh
-        self._ended: Queue[tuple[MeshMachine, bytes, int]] = Queue()
+        self._pending_crashes: Queue[tuple[MeshMachine, bytes, int]] = Queue()
         self.crashes: list[Crash] = []
         for machine in mesh.machines:
             machine.worker.state.crash_mark = mark
             machine.worker.state.on_crash = partial(self._crash, machine)
-        # Belongs to no process: it survives the ends that it brings about.
-        gevent.spawn(self._end_workers)
+        # Spawned outside any simulated process, so that killing a worker doesn't kill it.
+        gevent.spawn(self._crash_workers)
 
     def end(self, *machines: MeshMachine) -> None:
-        """End workers at one moment for a reason of their own."""
+        """Crash workers at the same moment, without a request as the cause."""
         for machine in machines:
-            self._ended.put((machine, b"", machine.worker.state.running))
+            self._pending_crashes.put((machine, b"", machine.worker.state.running))
 
     def mend(self) -> None:
-        """Let workers bear such requests from now on."""
+        """Stop marked requests from crashing workers."""
         for machine in self._mesh.machines:
             machine.worker.state.crash_mark = b""
 
     def runs_of(self, mark: bytes) -> list[RoutedRun]:
-        """Return the runs of requests whose target holds a mark."""
+        """Return the runs of requests whose target contains ``mark``."""
         return [
             run
             for machine in self._mesh.machines
@@ -65,19 +66,19 @@
         ]
 
     def _crash(self, machine: MeshMachine, run: RoutedRun) -> None:
-        self._ended.put((machine, run.target, machine.worker.state.running))
-        gevent.sleep(BACK_SECONDS)
+        self._pending_crashes.put((machine, run.target, machine.worker.state.running))
+        gevent.sleep(RESTART_DELAY_SECONDS)
 
-    def _end_workers(self) -> None:
+    def _crash_workers(self) -> None:
         while True:
-            machine, target, beside = self._ended.get()
+            machine, target, in_flight = self._pending_crashes.get()
             if machine.worker_process.dead:
                 continue
             now = self._mesh.world.loop.now()
-            self.crashes.append(Crash(now, machine.name, target, beside))
+            self.crashes.append(Crash(now, machine.name, target, in_flight))
             machine.worker_process.kill()
-            gevent.spawn_later(BACK_SECONDS, self._mesh.restart_worker, machine)
+            gevent.spawn_later(RESTART_DELAY_SECONDS, self._mesh.restart_worker, machine)
 
     def ends_under(self, mark: bytes) -> list[Crash]:
-        """Return the ends of workers under requests whose target holds a mark."""
+        """Return the crashes caused by requests whose target contains ``mark``."""
         return [crash for crash in self.crashes if mark in crash.target]
--- a/src/cranklane_lab/simulation/disk.py
+++ b/src/cranklane_lab/simulation/disk.py
@@ -1,4 +1,4 @@
-"""Simulated files: what is not synced is lost when the machine loses power."""
+"""Simulated disks: unsynced data is lost when the machine loses power."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cranklane.runtime.interface import Storage
 
 SYNC_SECONDS = 0.002
-"""Mean time of a sync."""
+"""Mean duration of a sync."""
 
 
 @dataclass
@@ -22,10 +22,10 @@
 
 @dataclass
 class Disk:
-    """The files of one machine; they outlive its processes.
+    """The files of one machine, which persist across its processes.
 
-    :ivar full: a fault: every write is refused; of an append, half is written.
-    :ivar lose_syncs: a fault: syncs return without making anything durable.
+    :ivar full: injected fault: every write fails with ENOSPC; an append writes half its data.
+    :ivar lose_syncs: injected fault: a sync returns without making data durable.
     """
 
     random: Random
@@ -35,18 +35,18 @@
     syncs: int = 0
 
     def lose_power(self) -> None:
-        """Lose what is not synced; of the last write a random beginning stays."""
+        """Drop unsynced data, except for a random prefix of each file's pending bytes."""
         for file in self.files.values():
-            kept = self.random.randrange(len(file.pending) + 1) if file.pending else 0
-            file.durable += file.pending[:kept]
+            kept_size = self.random.randrange(len(file.pending) + 1) if file.pending else 0
+            file.durable += file.pending[:kept_size]
             file.pending = b""
 
     def wipe(self) -> None:
-        """Lose everything."""
+        """Delete all files."""
         self.files.clear()
 
     def damage(self, name: str, position: int) -> None:
-        """Turn one bit of a file."""
+        """Flip one bit of a file."""
         file = self.files[name]
         data = bytearray(file.durable)
         data[position] ^= 0x10
@@ -72,18 +72,18 @@
             raise OSError(errno.ENOSPC, "no space left on device")
 
     def read(self, name: str) -> bytes | None:
-        """Return a file's bytes, or None when there is no such file."""
+        """Return a file's bytes, or None if it doesn't exist."""
         file = self._disk.files.get(self._name(name))
         return file.durable + file.pending if file is not None else None
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a file in place whole and synced."""
+        """Replace a file atomically and sync it."""
         self._wait()
         self._refuse_when_full()
         self._disk.files[self._name(name)] = _File(durable=bytes(data))
 
     def append(self, name: str, data: bytes) -> None:
-        """Write at a file's end; not yet durable."""
+        """Append to a file; the data is durable only after :meth:`sync`."""
         file = self._disk.files.setdefault(self._name(name), _File())
         if self._disk.full:
             file.pending += data[: len(data) // 2]
@@ -91,7 +91,7 @@
         file.pending += data
 
     def sync(self, name: str) -> None:
-        """Make all that was appended before this call durable."""
+        """Make the data appended before this call durable."""
         file = self._disk.files.get(self._name(name))
         if file is None:
             return
@@ -104,17 +104,17 @@
         file.pending = file.pending[size:]
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file and sync it."""
+        """Truncate a file and sync it."""
         self._refuse_when_full()
         data = self.read(name) or b""
         self._disk.files[self._name(name)] = _File(durable=data[:size])
 
     def remove(self, name: str) -> None:
-        """Delete a file if it is there."""
+        """Delete a file if it exists."""
         self._disk.files.pop(self._name(name), None)
 
     def names(self) -> list[str]:
-        """Return the names of the files there, sorted."""
+        """Return the names of the folder's files, sorted."""
         prefix = f"{self._folder}/"
         return sorted(
             name.removeprefix(prefix) for name in self._disk.files if name.startswith(prefix)
--- a/src/cranklane_lab/simulation/fleet.py
+++ b/src/cranklane_lab/simulation/fleet.py
@@ -1,4 +1,4 @@
-"""A deployment in a simulated world: the product's own processes and stand-ins."""
+"""A simulated deployment: production processes with stand-in workers and clients."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass
 class SimulatedPair:
-    """A worker and the node beside it, on one machine."""
+    """A worker and its node on one machine."""
 
     plan: ServicePlan
     name: str
@@ -42,7 +42,10 @@
 
 @dataclass
 class SimulatedFleet:
-    """A running deployment in a simulated world."""
+    """A running deployment in a simulated world.
+
+    :ivar on_run: called for each request that a worker runs.
+    """
 
     world: World
     deployment: Deployment
@@ -58,9 +61,11 @@
     on_run: Callable[[WorkerRun], None] | None = None
 
     def start(self, controls: int = 1, ledgers: int = 0) -> None:
-        """Start everything, put the policy in force and wait until nodes have it.
+        """Start all processes, apply the policy and give nodes time to receive it.
 
-        :param ledgers: replicas of the one ledger group.
+        :param controls: number of control processes.
+        :param ledgers: number of replicas in the ledger group.
+        :raises RuntimeError: when control refuses a policy document.
         """
         hosts = [self.world.new_host() for _ in range(controls)]
         self.control_addresses = [(host, _PEER_PORT) for host in hosts]
@@ -79,11 +84,11 @@
         for name, text in self._documents():
             answer = self.apply(name, text, 0, f"first-{name}")
             if not answer.accepted:
-                raise RuntimeError(f"the policy of {name} was not accepted: {answer}")
+                raise RuntimeError(f"control refused the policy of tenant {name}: {answer}")
         gevent.sleep(1.0)
 
     def _documents(self) -> list[tuple[str, str]]:
-        """Return the policy's documents: one for each tenant."""
+        """Return each tenant's name and policy document."""
         text = self.deployment.policy()
         tenants = parse(text).tenants
         if len(tenants) == 1:
@@ -91,7 +96,7 @@
         return [(tenant.name, tenant.source) for tenant in tenants]
 
     def _wait_for_group(self, controls: int) -> None:
-        """Wait until one control process leads and all vote."""
+        """Wait until there is a leader and all control processes are voters."""
         while True:
             gevent.sleep(1.0)
             leader = self.leader()
@@ -99,14 +104,14 @@
                 return
 
     def leader(self) -> ControlProcess | None:
-        """Return the control process that leads for certain, or None."""
+        """Return the confirmed leader, or None."""
         for control, process in zip(self.controls, self.control_processes, strict=True):
             if not process.dead and control.replica.may_read:
                 return control
         return None
 
     def start_control(self, number: int, host: str, voter: bool = True) -> None:
-        """Start a control process on a machine; one that does not vote is a relay."""
+        """Start a control process on a machine, as a voter or as a relay."""
         world = self.world
         name = f"control-{number}"
         zones = self.deployment.zones
@@ -133,7 +138,7 @@
         self.control_processes.append(process)
 
     def start_ledger(self, number: int, hosts: list[str]) -> None:
-        """Start a replica of the ledger group on its machine."""
+        """Start a replica of the ledger group on machine ``hosts[number]``."""
         name = f"ledger-{number}"
         zone = self.deployment.zones[number % len(self.deployment.zones)]
         process = self.world.process(name, zone, hosts[number])
@@ -157,14 +162,14 @@
         self.ledger_processes.append(process)
 
     def restart_ledger(self, number: int) -> None:
-        """Start a replica of the ledger group again on its machine."""
+        """Restart a replica of the ledger group on its machine."""
         self.start_ledger(number, [process.host for process in self.ledger_processes])
 
     def _control_texts(self) -> list[str]:
         return [format_address(address) for address in self.control_addresses]
 
     def start_edge(self) -> None:
-        """Start the edge, or its replacement on the same machine."""
+        """Start the edge node, or restart it on the same machine."""
         host = self.edge_address[0] or None
         process = self.world.process("edge", self.deployment.zones[0], host)
         self.edge_process = process
@@ -180,7 +185,7 @@
         self.world.start(process, self.edge.start)
 
     def start_pair(self, plan: ServicePlan, number: int, host: str | None = None) -> SimulatedPair:
-        """Start a worker and its node."""
+        """Start a worker and its node on ``host``, or on a new machine."""
         zones = self.deployment.zones
         zone = zones[number % len(zones)]
         name = f"{plan.name}-{number}"
@@ -191,7 +196,7 @@
         return SimulatedPair(plan, name, zone, host, worker_process, worker, node_process, node)
 
     def start_worker(self, process: SimulatedProcess, plan: ServicePlan, name: str) -> Worker:
-        """Start a worker."""
+        """Start a stand-in worker in ``process``."""
         return self.world.start(
             process,
             lambda: Worker(
@@ -208,7 +213,7 @@
     def start_node(
         self, plan: ServicePlan, name: str, zone: str, host: str
     ) -> tuple[SimulatedProcess, NodeProcess]:
-        """Start a node."""
+        """Start the node of a worker on machine ``host``."""
         process = self.world.process(f"{name}-node", zone, host)
         settings = NodeSettings(
             name=name,
@@ -227,20 +232,24 @@
         return process, node
 
     def of(self, service: str) -> list[SimulatedPair]:
-        """Return the pairs of a service."""
+        """Return the worker and node pairs of a service."""
         return [pair for pair in self.pairs if pair.plan.name == service]
 
     def client(self, name: str = "client") -> Client:
-        """Return a client on a machine of its own."""
+        """Return a client on a new machine."""
         process = self.world.process(name, CLIENT_ZONE)
         return Client(process, self.edge_address, self.deployment.name, self.deployment.token)
 
     def operator(self, name: str) -> SimulatedOperator:
-        """Return an operator on a machine of its own."""
+        """Return an operator on a new machine."""
         process = self.world.process(f"operator-{name}", CLIENT_ZONE)
         addresses = [(host, _HTTP_PORT) for host, _ in self.control_addresses]
         return SimulatedOperator(process, addresses)
 
     def apply(self, name: str, text: str, base: int, request: str) -> OperatorAnswer:
-        """Edit a document; return control's answer."""
+        """Edit a policy document and return control's answer.
+
+        :param base: version that the edit is based on.
+        :param request: request id.
+        """
         return self.operator(request).edit(name, text, base, request)
--- a/src/cranklane_lab/simulation/loop.py
+++ b/src/cranklane_lab/simulation/loop.py
@@ -1,9 +1,8 @@
 """An event loop for gevent whose clock jumps to the next timer.
 
-With a :class:`VirtualLoop` in gevent's hub, sleeping, timeouts, events and
-queues all run on virtual time. Each timer belongs to the simulated process whose
-task started it, so that a frozen process's timers wait and a dead one's never
-fire.
+With a :class:`VirtualLoop` in gevent's hub, sleeps, timeouts, events and queues
+use virtual time. Each timer is owned by the simulated process whose task started
+it: timers of a frozen process are deferred, those of a dead process never fire.
 """
 
 from __future__ import annotations
@@ -16,18 +15,18 @@
 import gevent
 from gevent.hub import Hub, get_hub, set_hub
 
-LEAST_WAIT_SECONDS = 1e-9
-"""A wait is at least this long: one below the resolution of the virtual clock would end at the
-second at which it began, and whoever waits until a time would wait for ever."""
+MIN_WAIT_SECONDS = 1e-9
+"""Minimum duration of a wait. A shorter one could round to zero virtual time, and a loop that
+waits for a point in time would never reach it."""
 
 
 class Owner(Protocol):
-    """A simulated process, as far as the loop is concerned.
+    """The attributes of a simulated process that the loop uses.
 
-    :ivar frozen_until: virtual second until which nothing of it runs.
-    :ivar dead: whether it has ended.
-    :ivar clock_rate: its seconds for each true second.
-    :ivar suspended_seconds: for how long its machine has been suspended, all in all.
+    :ivar frozen_until: virtual second until which none of its timers fires.
+    :ivar dead: whether it has exited.
+    :ivar clock_rate: local seconds per virtual second.
+    :ivar suspended_seconds: total time for which its machine was suspended.
     """
 
     frozen_until: float
@@ -37,12 +36,12 @@
 
 
 def current_owner() -> Any:
-    """Return the simulated process of the running task, or None."""
+    """Return the simulated process that owns the running task, or None."""
     return getattr(gevent.getcurrent(), "owner", None)
 
 
 class _Callback:
-    """A call to make in the loop's next round; true until it has returned."""
+    """A call for the loop's next iteration; truthy until it has returned."""
 
     __slots__ = ("function", "args")
 
@@ -65,10 +64,10 @@
 
 
 class _Timer:
-    """A call at a virtual time.
+    """A call scheduled at a virtual time.
 
-    :ivar stands_still: whether it stands still while its owner's machine is suspended, as a
-        process's timers do; what comes from the network does not.
+    :ivar pauses_when_suspended: whether it pauses while its owner's machine is suspended:
+        true for a process's timers, false for network deliveries.
     """
 
     def __init__(self, loop: VirtualLoop, after: float, repeat: float = 0.0) -> None:
@@ -78,8 +77,8 @@
         self.callback: Callable[..., Any] | None = None
         self.args: tuple[Any, ...] = ()
         self.owner: Any = None
-        self.stands_still = True
-        self._suspended_before = 0.0
+        self.pauses_when_suspended = True
+        self._counted_suspension = 0.0
         self._generation = 0
 
     @property
@@ -104,20 +103,20 @@
         rate = 1.0
         if self.owner is not None:
             rate = self.owner.clock_rate
-            self._suspended_before = self.owner.suspended_seconds
-        least = LEAST_WAIT_SECONDS if after > 0 else 0.0
-        self._loop.schedule(max(least, after) / rate, self, self._generation)
+            self._counted_suspension = self.owner.suspended_seconds
+        minimum = MIN_WAIT_SECONDS if after > 0 else 0.0
+        self._loop.schedule(max(minimum, after) / rate, self, self._generation)
 
-    def take_suspension(self) -> float:
-        """Return for how long it has stood still since this was asked last."""
-        if self.owner is None or not self.stands_still:
+    def take_suspended_seconds(self) -> float:
+        """Return the seconds of suspension since the previous call."""
+        if self.owner is None or not self.pauses_when_suspended:
             return 0.0
-        still = self.owner.suspended_seconds - self._suspended_before
-        self._suspended_before = self.owner.suspended_seconds
-        return float(still)
+        paused_seconds = self.owner.suspended_seconds - self._counted_suspension
+        self._counted_suspension = self.owner.suspended_seconds
+        return float(paused_seconds)
 
     def fire(self, generation: int) -> None:
-        """Make the call, unless the timer was stopped or started again."""
+        """Run the callback, unless the timer was stopped or restarted."""
         callback = self.callback
         if callback is None or generation != self._generation:
             return
@@ -141,8 +140,8 @@
         self.close()
 
 
-class _Inert:
-    """A watcher for things that do not exist in simulation."""
+class _NullWatcher:
+    """A no-op watcher for event sources that the simulation lacks."""
 
     active = pending = False
     ref = True
@@ -159,7 +158,7 @@
     def send(self) -> None:
         """Do nothing."""
 
-    def __enter__(self) -> _Inert:
+    def __enter__(self) -> _NullWatcher:
         return self
 
     def __exit__(self, *_: object) -> None:
@@ -167,14 +166,18 @@
 
 
 class VirtualLoop:
-    """The loop. :ivar error: the first error that escaped a callback."""
+    """A gevent event loop on virtual time.
+
+    :ivar task_errors: descriptions of the errors that ended tasks.
+    :ivar steps: number of callbacks and timers run.
+    """
 
     approx_timer_resolution = 0.0
     min_sleep_time = 0.0
     MAXPRI = 2
     MINPRI = -2
     default = True
-    WatcherType = _Inert
+    WatcherType = _NullWatcher
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -186,10 +189,10 @@
         self.task_errors: list[str] = []
         self.steps = 0
 
-    # What gevent asks of a loop.
+    # The interface that gevent requires of a loop.
 
     def run(self, nowait: bool = False, once: bool = False) -> bool:
-        """Run until nothing is left to do."""
+        """Run until no callback or timer is left, or :meth:`break_` is called."""
         while not self._broken:
             while self._callbacks:
                 callback = self._callbacks.popleft()
@@ -210,9 +213,9 @@
             if owner is not None:
                 if owner.dead:
                     continue
-                still = timer.take_suspension()
-                if still > 0:
-                    self._push(when + still, timer, generation)
+                paused_seconds = timer.take_suspended_seconds()
+                if paused_seconds > 0:
+                    self._push(when + paused_seconds, timer, generation)
                     continue
                 if owner.frozen_until > when:
                     self._push(owner.frozen_until, timer, generation)
@@ -224,21 +227,21 @@
         return False
 
     def call(self, function: Callable[..., Any], arguments: tuple[Any, ...]) -> None:
-        """Call a function; an error goes to gevent's handler."""
+        """Call a function and pass its errors to gevent's error handler."""
         try:
             function(*arguments)
-        except BaseException:  # gevent decides what to do with it
+        except BaseException:  # gevent's handler decides, also on GreenletExit and SystemExit
             import sys
 
             self.handle_error(None, *sys.exc_info())
 
     def handle_error(self, context: Any, kind: Any, value: Any, trace: Any) -> None:
-        """Pass an error to the hub."""
+        """Pass an error to the hub's error handler."""
         if self.error_handler is not None:
             self.error_handler.handle_error(context, kind, value, trace)
 
     def schedule(self, after: float, timer: _Timer, generation: int) -> None:
-        """Fire a timer after so many true seconds."""
+        """Schedule a timer ``after`` virtual seconds from now."""
         self._push(self._now + after, timer, generation)
 
     def _push(self, when: float, timer: _Timer, generation: int) -> None:
@@ -246,7 +249,7 @@
         heapq.heappush(self._timers, (when, self._order, timer, generation))
 
     def run_callback(self, function: Callable[..., Any], *arguments: Any) -> _Callback:
-        """Call a function in the next round."""
+        """Schedule a call in the next iteration."""
         callback = _Callback(function, arguments)
         self._callbacks.append(callback)
         return callback
@@ -256,24 +259,24 @@
     def timer(
         self, after: float, repeat: float = 0.0, ref: bool = True, priority: Any = None
     ) -> _Timer:
-        """Return a timer."""
+        """Return a timer that fires after ``after`` seconds, then every ``repeat`` seconds."""
         return _Timer(self, after, repeat)
 
     def now(self) -> float:
-        """Return the virtual second."""
+        """Return the virtual time in seconds."""
         return self._now
 
     def update_now(self) -> None:
-        """Do nothing: time moves only between callbacks."""
+        """Do nothing: virtual time advances only between timers."""
 
     update = update_now
 
     def break_(self, *_: Any) -> None:
-        """End :meth:`run`."""
+        """Make :meth:`run` return."""
         self._broken = True
 
     def destroy(self) -> None:
-        """Forget everything."""
+        """Drop all callbacks and timers."""
         self._callbacks.clear()
         self._timers.clear()
 
@@ -284,20 +287,20 @@
         """Do nothing."""
 
     def closing_fd(self, _descriptor: int) -> bool:
-        """Return that nothing waits for a descriptor."""
+        """Return False: no watcher uses file descriptors."""
         return False
 
     def fileno(self) -> None:
-        """Return that there is no descriptor."""
+        """Return None: the loop has no file descriptor."""
 
-    def _inert(self, *_: Any, **__: Any) -> _Inert:
-        return _Inert()
+    def _null_watcher(self, *_: Any, **__: Any) -> _NullWatcher:
+        return _NullWatcher()
 
-    async_ = check = prepare = signal = fork = child = io = idle = stat = _inert
+    async_ = check = prepare = signal = fork = child = io = idle = stat = _null_watcher
 
 
 class _Hub(Hub):
-    """Keeps the errors that end tasks, besides printing them."""
+    """Records the errors that end tasks, in addition to printing them."""
 
     def handle_error(self, context: Any, kind: Any, value: Any, trace: Any) -> None:
         if not issubclass(kind, self.NOT_ERROR):
@@ -306,11 +309,11 @@
 
 
 def run_virtual(function: Callable[[VirtualLoop], Any]) -> Any:
-    """Run a function in a task on a new virtual loop and return what it returns.
+    """Run a function in a task on a new virtual loop and return its result.
 
-    The hub of the thread is put back afterwards.
+    Restores the thread's hub afterwards.
     """
-    before = get_hub()
+    previous_hub = get_hub()
     loop = VirtualLoop()
     hub = _Hub(loop=loop)
     set_hub(hub)
@@ -319,4 +322,4 @@
     finally:
         loop.break_()
         loop.destroy()
-        set_hub(before)
+        set_hub(previous_hub)
--- a/src/cranklane_lab/simulation/mesh.py
+++ b/src/cranklane_lab/simulation/mesh.py
@@ -1,4 +1,4 @@
-"""Controllers, sidecars and their workers in a simulated world."""
+"""A simulated mesh of controllers, sidecars and workers."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from cranklane_lab.standins.routed_worker import HEALTH_PATH, NAMES, RoutedWorker
 
 HOST = "shop.example"
-SEEDS = 3
+SEED_COUNT = 3
 _PEER_PORT = 7000
 _OPERATOR_PORT = 7001
 _CALLERS_PORT = 8000
@@ -31,7 +31,7 @@
 
 @dataclass
 class MeshMachine:
-    """A machine with a sidecar and a worker."""
+    """A machine that runs a sidecar and its worker."""
 
     name: str
     service: str
@@ -44,18 +44,18 @@
 
     @property
     def callers(self) -> Address:
-        """Where requests enter."""
+        """Address on which the sidecar accepts requests."""
         return self.host, _CALLERS_PORT
 
     @property
     def readiness(self) -> Address:
-        """Where readiness is asked."""
+        """Address of the sidecar's readiness endpoint."""
         return self.host, _READINESS_PORT
 
 
 @dataclass
 class ControllerMachine:
-    """A machine with a controller."""
+    """A machine that runs a controller."""
 
     number: int
     host: str
@@ -64,7 +64,7 @@
 
     @property
     def operators(self) -> Address:
-        """Where operators ask."""
+        """Address of the operator API."""
         return self.host, _OPERATOR_PORT
 
 
@@ -75,11 +75,14 @@
     services: tuple[str, ...],
     tenants: dict[str, dict[str, Any]] | None = None,
 ) -> dict[str, Any]:
-    """Return a document; each route needs only what differs from the usual.
+    """Return a route table document.
 
-    :param tenants: by name; None: requests need no key.
+    :param version: version of the document.
+    :param base: version that it is based on.
+    :param routes: by name; each overrides the default route settings.
+    :param tenants: by name; None disables the API key check.
     """
-    usual = {
+    defaults = {
         "host": HOST,
         "repeat": "safe",
         "timeout_ms": 5000,
@@ -90,7 +93,7 @@
     document = {
         "version": version,
         "base": base,
-        "routes": {name: {**usual, **route} for name, route in routes.items()},
+        "routes": {name: {**defaults, **route} for name, route in routes.items()},
         "services": {
             name: {"health_path": HEALTH_PATH, "max_connections": 100} for name in services
         },
@@ -108,7 +111,7 @@
 
 @dataclass
 class Mesh:
-    """A running mesh."""
+    """A running mesh in a simulated world."""
 
     world: World
     zones: tuple[str, ...] = ("a", "b", "c")
@@ -120,9 +123,12 @@
     _restarts: int = 0
 
     def start_controllers(self, count: int, tolerated: int = 1) -> None:
-        """Start controllers for the first time."""
+        """Start a new group of controllers.
+
+        :param tolerated: losses of controllers that the group must tolerate.
+        """
         hosts = [self.world.new_host() for _ in range(count)]
-        self._seeds = [format_address((host, _OPERATOR_PORT)) for host in hosts[:SEEDS]]
+        self._seeds = [format_address((host, _OPERATOR_PORT)) for host in hosts[:SEED_COUNT]]
         self._tolerated = tolerated
         for number, host in enumerate(hosts):
             self.controllers.append(self._controller(number, host, True))
@@ -147,44 +153,47 @@
         return ControllerMachine(number, host, process, controller)
 
     def restart_controller(self, number: int, empty: bool = False) -> None:
-        """Start a killed controller again, with its disk or an empty one."""
+        """Restart a killed controller, with its disk or an empty one."""
         host = self.controllers[number].host
         if empty:
             self.world.disk(host).wipe()
         self.controllers[number] = self._controller(number, host, False)
 
     def replace_controller(self, number: int) -> None:
-        """Put a new machine in the place of one that is gone for good.
+        """Replace a permanently lost controller by one on a new machine.
 
-        Its settings name machines of the operators' present list.
+        The new controller is seeded with the remaining controllers.
         """
-        present = [item for item in self.controllers if item.number != number]
-        self._seeds = [format_address(item.operators) for item in present[:SEEDS]]
+        present = [machine for machine in self.controllers if machine.number != number]
+        self._seeds = [format_address(machine.operators) for machine in present[:SEED_COUNT]]
         self.controllers[number] = self._controller(number, self.world.new_host(), False)
 
     def leader(self) -> ControllerMachine | None:
-        """Return the controller that leads for certain, or None."""
+        """Return the confirmed leader, or None."""
         for machine in self.controllers:
             if not machine.process.dead and machine.controller.replica.may_read:
                 return machine
         return None
 
     def voters(self) -> int:
-        """Return how many replicas vote, by the leader's word; 0 without one."""
+        """Return the leader's number of voters; 0 without a leader."""
         leader = self.leader()
         return len(leader.controller.replica.members.voters()) if leader else 0
 
     def wait_for(self, condition: Callable[[], bool], seconds: float) -> bool:
-        """Wait until a condition holds; return whether it came to hold in time."""
-        until = self.world.loop.now() + seconds
+        """Wait until a condition holds; return False when ``seconds`` pass first."""
+        deadline = self.world.loop.now() + seconds
         while not condition():
-            if self.world.loop.now() >= until:
+            if self.world.loop.now() >= deadline:
                 return False
             gevent.sleep(0.05)
         return True
 
     def add_machine(self, service: str, slots: int = 4, beats: bool = True) -> MeshMachine:
-        """Start a sidecar and its worker."""
+        """Start a sidecar and its worker on a new machine.
+
+        :param beats: whether the worker sends heartbeats.
+        """
         number = len(self.machines)
         zone = self.zones[number % len(self.zones)]
         host = self.world.new_host()
@@ -206,7 +215,7 @@
         )
 
     def restart_worker(self, machine: MeshMachine) -> None:
-        """Start a worker that has ended again, as a new instance with the same faults."""
+        """Restart an exited worker as a new instance with the same injected faults."""
         former = machine.worker
         name = machine.worker_process.name
         process = self.world.process(name, machine.zone, machine.host)
@@ -226,7 +235,7 @@
         host: str,
         process: SimulatedProcess | None = None,
     ) -> tuple[SimulatedProcess, Sidecar]:
-        """Start a sidecar on a machine, in a new process unless one is given."""
+        """Start a sidecar on a machine, in ``process`` or else in a new process."""
         process = process or self.world.process(name, zone, host)
         settings = SidecarSettings(
             name=name,
@@ -247,22 +256,22 @@
         return process, sidecar
 
     def client_process(self, name: str, host: str) -> SimulatedProcess:
-        """Return a process on a machine, for a client there."""
+        """Return a new client process on a machine."""
         return self.world.process(name, self.zones[0], host)
 
     def operate(
         self, document: dict[str, Any] | bytes, number: int | None = None
     ) -> RawAnswer | None:
-        """Send a route table to the leader, or to a stated controller."""
+        """Send a route table to the leader, or to controller ``number``."""
         body = document if isinstance(document, bytes) else json.dumps(document).encode()
         return self.ask_control("POST", body, number)
 
     def describe(self, number: int | None = None) -> RawAnswer | None:
-        """Read the route table in force."""
+        """Fetch the current route table."""
         return self.ask_control("GET", b"", number)
 
     def ask_control(self, method: str, body: bytes, number: int | None) -> RawAnswer | None:
-        """Ask a controller, following its word on who leads."""
+        """Send a request to a controller, following redirects to the leader."""
         process = self.world.process("operator", self.zones[0])
         machine = self.controllers[number] if number is not None else self.leader()
         if machine is None:
@@ -286,19 +295,19 @@
         headers: dict[str, str] | None = None,
         name: str = "",
     ) -> RawAnswer | None:
-        """Send one request from a client of a machine."""
+        """Send one request to a machine's sidecar from a client on that machine."""
         self._requests += 1
         process = self.client_process(f"client-{self._requests}", machine.host)
-        sent = {
+        all_headers = {
             "Host": HOST,
             NAMES.request.decode(): name or f"request-{self._requests}",
             NAMES.deadline.decode(): str(deadline_ms),
             **(headers or {}),
         }
-        return exchange(process, machine.callers, method, path, sent, body)
+        return exchange(process, machine.callers, method, path, all_headers, body)
 
     def run_of(self, name: str) -> list[str]:
-        """Return the workers that have run a request."""
+        """Return the instances of the workers that ran a request."""
         return [
             machine.worker.instance
             for machine in self.machines
--- a/src/cranklane_lab/simulation/network.py
+++ b/src/cranklane_lab/simulation/network.py
@@ -1,7 +1,7 @@
 """Simulated stream connections between simulated processes.
 
-Bytes of one direction arrive in order after the link's delay. A cut link holds
-them back silently, each way on its own, until it heals; nothing tells either end.
+Bytes of one direction arrive in order after the link's delay. A cut link delays
+them until it heals, separately for each direction and without notice to either end.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from cranklane_lab.simulation.loop import VirtualLoop
 
 WINDOW_BYTES = 256 * 1024
-"""Bytes a sender may have under way or unread at the far end."""
+"""Maximum number of bytes in flight or unread at the peer."""
 
-JITTER_PART = 0.2
-"""Part of a link's delay that varies at random."""
+JITTER_FRACTION = 0.2
+"""Maximum random addition to a link's delay, as a fraction of it."""
 
 
 class NetworkProcess(Protocol):
-    """A simulated process, as far as the network is concerned.
+    """The attributes of a simulated process that the network uses.
 
-    :ivar host: IP number of its machine.
-    :ivar dead: whether it has ended.
-    :ivar connections: its open ends, by their ``id``.
+    :ivar host: IP address of its machine.
+    :ivar dead: whether it has exited.
+    :ivar connections: its open connections, by ``id()``.
     """
 
     name: str
@@ -40,11 +40,17 @@
     connections: dict[int, SimulatedConnection]
 
     def spawn(self, function: Callable[..., Any], *arguments: Any) -> Any:
-        """Start a task of this process."""
+        """Start a task owned by this process."""
 
 
 class SimulatedConnection:
-    """One end of a connection, with the methods of a socket."""
+    """One end of a connection, with a socket's methods.
+
+    :ivar received: bytes that arrived and are not yet read.
+    :ivar unread: sent bytes that the peer hasn't read.
+    :ivar ended: whether the peer has finished sending.
+    :ivar broken: error raised by later operations, if the connection was reset.
+    """
 
     def __init__(self, network: Network, owner: NetworkProcess) -> None:
         self._network = network
@@ -61,16 +67,16 @@
         self._writable = Event()
 
     def settimeout(self, seconds: float | None) -> None:
-        """Bound each later wait; it then raises TimeoutError."""
+        """Set the timeout of later waits, which raise TimeoutError after it."""
         self._timeout = seconds
 
     def gettimeout(self) -> float | None:
-        """Return the bound."""
+        """Return the timeout in seconds; None for no timeout."""
         return self._timeout
 
     def _check(self) -> None:
         if self.closed:
-            raise OSError(errno.EBADF, "the connection is closed here")
+            raise OSError(errno.EBADF, "connection is closed locally")
         if self.broken is not None:
             raise self.broken
 
@@ -80,25 +86,25 @@
             raise TimeoutError("timed out")
 
     def recv(self, size: int) -> bytes:
-        """Return the next bytes; nothing at the end."""
+        """Return up to ``size`` bytes; ``b""`` at the end of the stream."""
         while not self.received:
             self._check()
             if self.ended:
                 return b""
             self._wait(self._readable)
         self._check()
-        taken = bytes(self.received[:size])
+        data = bytes(self.received[:size])
         del self.received[:size]
-        self._network.later(self, self.peer, self.peer.read_by_peer, len(taken))
-        return taken
+        self._network.later(self, self.peer, self.peer.read_by_peer, len(data))
+        return data
 
     def read_by_peer(self, size: int) -> None:
-        """Take that the far end has read bytes: the window opens."""
+        """Handle the peer's read of ``size`` bytes, which opens the window."""
         self.unread -= size
         self._writable.set()
 
     def sendall(self, data: bytes) -> None:
-        """Send all bytes, waiting while the window is full."""
+        """Send all bytes, waiting for room in the window."""
         view = memoryview(bytes(data))
         while view:
             self._check()
@@ -106,12 +112,12 @@
             if room <= 0:
                 self._wait(self._writable)
                 continue
-            piece, view = bytes(view[:room]), view[room:]
-            self.unread += len(piece)
-            self._network.later(self, self.peer, self.peer.arrive, piece)
+            chunk, view = bytes(view[:room]), view[room:]
+            self.unread += len(chunk)
+            self._network.later(self, self.peer, self.peer.arrive, chunk)
 
     def arrive(self, data: bytes) -> None:
-        """Take bytes from the far end."""
+        """Handle bytes from the peer."""
         if self.closed:
             self._network.later(self, self.peer, self.peer.reset)
             return
@@ -119,19 +125,19 @@
         self._readable.set()
 
     def end(self) -> None:
-        """Take that the far end sends no more."""
+        """Handle the end of the peer's stream."""
         self.ended = True
         self._readable.set()
 
     def reset(self) -> None:
-        """Take that the far end knows nothing of this connection."""
+        """Handle a reset by the peer."""
         if self.broken is None:
-            self.broken = ConnectionResetError(errno.ECONNRESET, "reset by the far end")
+            self.broken = ConnectionResetError(errno.ECONNRESET, "connection reset by peer")
         self._readable.set()
         self._writable.set()
 
     def close(self) -> None:
-        """Close this end; waits of other tasks on it end with an error."""
+        """Close this end; tasks that wait on it get an error."""
         if self.closed:
             return
         self.closed = True
@@ -142,20 +148,20 @@
             self._network.later(self, self.peer, self.peer.end)
 
     def abandon(self) -> None:
-        """Drop this end without a word, as a machine that loses power does."""
+        """Drop this end without notifying the peer."""
         self.closed = True
 
     def shutdown(self, _how: int) -> None:
-        """End sending; the far end reads to the end."""
+        """Stop sending; the peer sees the end of the stream."""
         self._network.later(self, self.peer, self.peer.end)
 
     @property
     def hung_up(self) -> bool:
-        """Whether the far end has closed or broken."""
+        """Whether the connection is closed, ended by the peer or broken."""
         return self.closed or self.ended or self.broken is not None
 
     def makefile(self, mode: str = "rb", buffering: int = -1) -> BinaryIO:
-        """Return a file that reads from the connection."""
+        """Return a buffered file object that reads from the connection."""
         return io.BufferedReader(_RawReader(self))
 
 
@@ -173,7 +179,7 @@
 
 
 class SimulatedListener:
-    """An open listening address."""
+    """A listening socket."""
 
     def __init__(self, network: Network, address: Address) -> None:
         self._network = network
@@ -187,8 +193,8 @@
 class Network:
     """All links and listening addresses.
 
-    :param delay: returns the seconds one way between two processes.
-    :param on_delivery: told of each delivery, for the event log.
+    :param delay: returns the one-way delay between two processes in seconds.
+    :param on_delivery: called with a description of each delivery, for the event log.
     """
 
     def __init__(
@@ -206,17 +212,17 @@
             Address, list[tuple[SimulatedListener, NetworkProcess, ConnectionHandler]]
         ] = {}
         self._cut: set[tuple[str, str]] = set()
-        self._held: dict[tuple[str, str], list[Callable[[], None]]] = {}
+        self._blocked: dict[tuple[str, str], list[Callable[[], None]]] = {}
         self._next_port = 40_000
 
     def cut(self, source: str, target: str) -> None:
-        """Hold back everything from one process to another, silently."""
+        """Block all data from one process to another, without notice to either."""
         self._cut.add((source, target))
 
     def heal(self, source: str, target: str) -> None:
-        """Let a cut link work again; what was held back is delivered."""
+        """Restore a cut link and deliver the blocked data."""
         self._cut.discard((source, target))
-        for release in self._held.pop((source, target), []):
+        for release in self._blocked.pop((source, target), []):
             release()
 
     def heal_all(self) -> None:
@@ -235,14 +241,14 @@
         action: Callable[..., None],
         *arguments: Any,
     ) -> None:
-        """Do something at the far end after the link's delay, in order."""
+        """Run an action at the peer after the link's delay, in sending order."""
         link = (source.owner.name, target.owner.name)
         if link in self._cut:
-            held = self._held.setdefault(link, [])
-            held.append(lambda: self.later(source, target, action, *arguments))
+            blocked = self._blocked.setdefault(link, [])
+            blocked.append(lambda: self.later(source, target, action, *arguments))
             return
         delay = self._delay(source.owner, target.owner)
-        delay *= 1 + JITTER_PART * self._random.random()
+        delay *= 1 + JITTER_FRACTION * self._random.random()
         when = max(self._loop.now() + delay, target.last_arrival)
         target.last_arrival = when
         self._at(when, target.owner, lambda: self._deliver(link, target, action, arguments))
@@ -264,7 +270,7 @@
         timer = self._loop.timer(when - self._loop.now())
         timer.start(action)
         timer.owner = owner
-        timer.stands_still = False
+        timer.pauses_when_suspended = False
 
     def listen(
         self,
@@ -273,12 +279,12 @@
         handler: ConnectionHandler,
         shared: bool,
     ) -> SimulatedListener:
-        """Open a listening address; port 0 takes a free one.
+        """Open a listening socket; port 0 selects a free port.
 
-        :raises OSError: when the address is taken and not shared.
+        :raises OSError: when the address is in use and ``shared`` is false.
         """
         if not shared and self._listeners.get(address):
-            raise OSError(errno.EADDRINUSE, f"{address} is taken")
+            raise OSError(errno.EADDRINUSE, f"{address} is already in use")
         if address[1] == 0:
             self._next_port += 1
             address = (address[0], self._next_port)
@@ -287,12 +293,12 @@
         return listener
 
     def unlisten(self, listener: SimulatedListener) -> None:
-        """Close a listening address."""
+        """Close a listening socket."""
         entries = self._listeners.get(listener.address, [])
         self._listeners[listener.address] = [entry for entry in entries if entry[0] is not listener]
 
     def forget(self, owner: NetworkProcess) -> None:
-        """Close all listening addresses of a process."""
+        """Close all listening sockets of a process."""
         for address, entries in self._listeners.items():
             self._listeners[address] = [entry for entry in entries if entry[1] is not owner]
 
@@ -301,12 +307,13 @@
     ) -> SimulatedConnection:
         """Open a connection.
 
-        :raises OSError: when it is refused or takes longer than ``timeout``.
+        :raises ConnectionRefusedError: when no process listens on the address.
+        :raises TimeoutError: when it takes longer than ``timeout`` seconds.
         """
         entries = self._listeners.get(address) or []
         if not entries:
             gevent.sleep(min(timeout, 0.001))
-            raise ConnectionRefusedError(errno.ECONNREFUSED, f"nobody listens on {address}")
+            raise ConnectionRefusedError(errno.ECONNREFUSED, f"no process listens on {address}")
         _, target, handler = entries[-1]
         near, far = SimulatedConnection(self, owner), SimulatedConnection(self, target)
         near.peer, far.peer = far, near
--- a/src/cranklane_lab/simulation/process.py
+++ b/src/cranklane_lab/simulation/process.py
@@ -1,4 +1,4 @@
-"""A simulated process and its runtime."""
+"""A simulated process, which implements the runtime interface."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from cranklane_lab.simulation.loop import VirtualLoop, current_owner
 from cranklane_lab.simulation.network import Network, SimulatedConnection
 
-WALL_START = 1_800_000_000.0
+WALL_CLOCK_START_SECONDS = 1_800_000_000.0
 
 
 def _inherit_owner(task: Greenlet) -> None:
@@ -35,14 +35,14 @@
 
 
 class SimulatedProcess(Runtime):
-    """One process: its clocks, connections, files and tasks.
-
-    :ivar host: IP number of its machine.
-    :ivar clock_rate: its seconds for each true second.
-    :ivar wall_offset: seconds its wall clock is wrong by.
-    :ivar suspended_seconds: for how long its machine has been suspended, all in all.
-    :cvar counts_suspension: whether its steady clock counts that time, as the production
-        runtime's does.
+    """A process with its clocks, connections, files and tasks.
+
+    :ivar host: IP address of its machine.
+    :ivar clock_rate: local seconds per virtual second.
+    :ivar wall_offset: error of its wall clock in seconds.
+    :ivar suspended_seconds: total time for which its machine was suspended.
+    :cvar counts_suspension: whether its monotonic clock includes suspended time, as the
+        production runtime's does.
     """
 
     counts_suspension = True
@@ -73,20 +73,20 @@
         self.connections: dict[int, SimulatedConnection] = {}
 
     def task_ended(self, task: Greenlet) -> None:
-        """Forget a task that has ended."""
+        """Remove a finished task."""
         self.tasks.pop(id(task), None)
 
     def monotonic(self) -> float:
-        """Return the process's own seconds."""
+        """Return the process's monotonic clock in seconds."""
         uncounted = 0.0 if self.counts_suspension else self.suspended_seconds
         return (self._loop.now() - uncounted) * self.clock_rate
 
     def wall(self) -> float:
-        """Return seconds since 1970 on the process's own clock."""
-        return WALL_START + self._loop.now() * self.clock_rate + self.wall_offset
+        """Return the process's wall clock in seconds since 1970."""
+        return WALL_CLOCK_START_SECONDS + self._loop.now() * self.clock_rate + self.wall_offset
 
     def spawn(self, function: Callable[..., Any], *arguments: Any) -> Greenlet:
-        """Start a task of this process."""
+        """Start a task owned by this process."""
         task = Greenlet(function, *arguments)
         task.owner = self
         self.tasks[id(task)] = task
@@ -103,34 +103,34 @@
         return self._network.listen(self, address, handler, shared)
 
     def hung_up(self, connections: Iterable[Any]) -> list[Any]:
-        """Return those connections whose far end has closed or broken."""
+        """Return the connections that the peer has closed or that are broken."""
         return [connection for connection in connections if connection.hung_up]
 
     def end_when_unheard(self, connection: Any) -> None:
-        """Break a connection whose far end confirms nothing that was sent for a while."""
+        """Do nothing: simulated connections have no acknowledgement timeout."""
 
     def has_input(self, connection: Any) -> bool:
-        """Return whether a connection has bytes to read, has ended or is broken."""
+        """Return whether a read would not block: bytes, end of stream or an error."""
         return bool(connection.received) or connection.hung_up
 
     def storage(self, folder: str) -> Storage:
-        """Return the files of a folder on the machine's disk."""
+        """Return the storage of a folder on the machine's disk."""
         return SimulatedStorage(self.disk, folder)
 
     def freeze(self, seconds: float) -> None:
-        """Let nothing of this process run for a while; nobody is told."""
+        """Pause all tasks of this process for ``seconds``, without notice to peers."""
         self.frozen_until = self._loop.now() + seconds
 
     def suspend(self, seconds: float) -> None:
-        """Suspend its machine for a while: as :meth:`freeze`, and its timers stand still."""
+        """Suspend its machine: :meth:`freeze`, and its timers pause as well."""
         self.freeze(seconds)
         self.suspended_seconds += seconds
 
     def kill(self, power_lost: bool = False) -> None:
-        """End the process at once.
+        """Kill the process immediately.
 
-        :param power_lost: its machine fails: peers are not told, and what is
-            not synced on its disk is lost.
+        :param power_lost: the machine fails: peers get no reset, and unsynced data on its
+            disk is lost.
         """
         self.dead = True
         self._network.forget(self)
@@ -141,8 +141,8 @@
         self.connections.clear()
         if power_lost:
             self.disk.lose_power()
-        # Its tasks end without running on: their clean-up must not touch the
-        # disk or the network of a machine that is gone.
+        # Stops the tasks, so that none of them uses the disk or the network of a dead
+        # machine.
         for task in list(self.tasks.values()):
             task.kill(block=False)
         gevent.sleep(0)
--- a/src/cranklane_lab/simulation/world.py
+++ b/src/cranklane_lab/simulation/world.py
@@ -1,4 +1,4 @@
-"""A simulated world: processes, machines, zones, time and its event log."""
+"""A simulated world: machines, processes, zones, virtual time and an event log."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from cranklane_lab.simulation.network import Network, NetworkProcess
 from cranklane_lab.simulation.process import SimulatedProcess
 
-LOCAL_DELAY = 0.00002
-"""Seconds one way between processes of one machine."""
+LOCAL_DELAY_SECONDS = 0.00002
+"""One-way delay between processes on one machine."""
 
-ZONE_DELAY = 0.0001
-"""Seconds one way inside a zone."""
+INTRA_ZONE_DELAY_SECONDS = 0.0001
+"""One-way delay between machines of one zone."""
 
 
 class World:
-    """Everything of one simulated run.
+    """The state of one simulated run.
 
-    :param between_zones: seconds one way between two zones.
+    :param between_zones: returns the one-way delay between two zones in seconds.
+    :ivar events: number of lines in the event log.
     """
 
     def __init__(
@@ -42,9 +43,9 @@
 
     def _delay(self, source: NetworkProcess, target: NetworkProcess) -> float:
         if source.host == target.host:
-            return LOCAL_DELAY
+            return LOCAL_DELAY_SECONDS
         if source.zone == target.zone:
-            return ZONE_DELAY
+            return INTRA_ZONE_DELAY_SECONDS
         return self._between_zones(source.zone, target.zone)
 
     def _delivered(self, text: str) -> None:
@@ -56,22 +57,22 @@
         self._digest.update(f"{self.loop.now():.9f} {text}\n".encode())
 
     def digest(self) -> str:
-        """Return the hash of the event log so far."""
+        """Return the SHA-256 digest of the event log so far."""
         return self._digest.hexdigest()
 
     def new_host(self) -> str:
-        """Return the IP number of a new machine."""
+        """Return the IP address of a new machine."""
         self._next_host += 1
         return f"10.0.{self._next_host // 250}.{self._next_host % 250 + 1}"
 
     def disk(self, host: str) -> Disk:
-        """Return a machine's disk."""
+        """Return the disk of a machine, creating it on first use."""
         if host not in self._disks:
             self._disks[host] = Disk(Random(self.random.getrandbits(64)))
         return self._disks[host]
 
     def process(self, name: str, zone: str, host: str | None = None) -> SimulatedProcess:
-        """Return a new process; one of the same name before it must be dead."""
+        """Return a new process; an earlier one of the same name must be dead."""
         host = host or self.new_host()
         disk = self.disk(host)
         random = Random(self.random.getrandbits(64))
@@ -80,12 +81,12 @@
         return process
 
     def start(self, process: SimulatedProcess, start: Callable[[], Any]) -> Any:
-        """Run a process's start in a task of its own and return what it returns."""
+        """Run ``start`` in a task of the process and return its result."""
         return process.spawn(start).get()
 
 
 def simulate(
     seed: int, between_zones: Callable[[str, str], float], scenario: Callable[[World], Any]
 ) -> Any:
-    """Run a scenario in a new world and return what it returns."""
+    """Run a scenario in a new world and return its result."""
     return run_virtual(lambda loop: scenario(World(loop, seed, between_zones)))
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -1,4 +1,4 @@
-"""The virtual clock, network and disks, and that a seed fixes everything."""
+"""The simulator's clock, network and disks, and determinism under a seed."""
 
 import os
 import subprocess
@@ -46,7 +46,7 @@
     assert run_seed(SCENARIOS["all-at-once"], 3).digest not in printed.pop()
 
 
-def test_hours_pass_at_once_and_in_order():
+def test_sleeps_take_virtual_time_and_wake_in_order():
     def scenario(world):
         seen = []
 
@@ -66,7 +66,7 @@
     return server, client, client.connect((server.host, 80), 1.0)
 
 
-def test_a_silent_cut_tells_nobody_and_heals_without_loss():
+def test_a_cut_link_delays_data_and_heals_without_loss():
     def scenario(world):
         received = []
 
@@ -88,7 +88,7 @@
     assert simulate(1, delay, scenario) == [(0.0, b"a"), (10.0, b"b")]
 
 
-def test_a_full_window_holds_the_sender_back():
+def test_a_full_window_blocks_the_sender():
     def scenario(world):
         connections = []
         started = Event()
@@ -126,7 +126,7 @@
     assert simulate(1, delay, scenario) == [1.0, 11.5, 12.5]
 
 
-def test_a_clock_that_runs_fast_wakes_early():
+def test_a_process_with_a_fast_clock_wakes_early():
     def scenario(world):
         process = world.process("p", "a")
         process.clock_rate = 2.0
@@ -136,7 +136,7 @@
     assert simulate(1, delay, scenario) == (5.0, 10.0)
 
 
-def test_power_loss_keeps_what_is_synced_and_tears_the_rest():
+def test_power_loss_keeps_synced_data_and_a_random_prefix_of_the_rest():
     def scenario(world):
         process = world.process("p", "a")
         storage = process.storage("data")
@@ -166,8 +166,8 @@
     assert simulate(1, delay, lambda world: scenario(world, True)) == "TimeoutError"
 
 
-def test_a_kept_connection_outlives_a_stop_that_begins_during_its_answer():
-    """Found by planned-stop, seed 29: the head promised to keep the connection."""
+def test_a_keep_alive_connection_survives_a_shutdown_that_begins_during_a_response():
+    """Guards against closing a connection after the response head announced keep-alive."""
 
     def scenario(world):
         server, client = world.process("server", "a"), world.process("client", "b")
