--- a/src/cranklane_lab/scenarios/control.py
+++ b/src/cranklane_lab/scenarios/control.py
@@ -257,7 +257,7 @@
         text = f"{run.fleet.deployment.policy()}\n# race {request}\n"
         again = operator.edit(history.document, text, 0, request, 40)
         before = first[number]
-        if before.settled and (again.status, again.media.get("version")) != (
+        if before.is_final and (again.status, again.media.get("version")) != (
             before.status,
             before.media.get("version"),
         ):
--- a/src/cranklane_lab/standins/__init__.py
+++ b/src/cranklane_lab/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what is outside the product: workers, clients, the platform."""
+"""Stand-ins for the processes outside the product: workers, clients and operators."""
--- a/src/cranklane_lab/standins/client.py
+++ b/src/cranklane_lab/standins/client.py
@@ -1,4 +1,4 @@
-"""An outside client: sends requests to an edge and checks what comes back."""
+"""A client that sends requests to an edge and verifies the responses."""
 
 from __future__ import annotations
 
@@ -9,20 +9,24 @@
 from cranklane.errors import AnswerCutError
 from cranklane.runtime.interface import Address, Runtime
 from cranklane_lab.deployments import RequestKind
-from cranklane_lab.standins.content import wrong_with
+from cranklane_lab.standins.content import body_defect
 
-CLIENT_SECONDS = 15.0
-"""Seconds a client waits for any byte."""
+CLIENT_TIMEOUT_SECONDS = 15.0
+"""Timeout of a client's wait for the next bytes."""
 
 
 @dataclass(frozen=True)
 class ClientResult:
-    """What a client was told of one request.
-
-    :ivar outcome: ``answered``, ``not_run``, ``unknown``; ``cut`` when an answer
-        began and the client saw that it is not whole; ``lost`` when none began.
-    :ivar wrong: what is wrong with an answer that claims to be whole.
-    :ivar seconds: from sending to the last byte.
+    """The result of one request.
+
+    :ivar kind: name of the request kind.
+    :ivar key: idempotency key.
+    :ivar outcome: ``answered``, ``not_run`` or ``unknown`` as reported by the edge; ``cut``
+        when the response broke off; ``lost`` when there was no response.
+    :ivar status: HTTP status; 0 without a complete response.
+    :ivar wrong: defect of a response that was reported as complete; empty if there is none.
+    :ivar seconds: time from sending to the last byte.
+    :ivar retry_after_ms: delay before a retry that the response asks for; 0 for none.
     """
 
     kind: str
@@ -37,12 +41,12 @@
 
     @property
     def good(self) -> bool:
-        """Whether the client has its whole, right answer."""
+        """Whether the response is successful, complete and correct."""
         return self.outcome == "answered" and self.status < 300 and not self.wrong
 
 
 class Client:
-    """Sends requests of one tenant to one edge."""
+    """Sends requests of one tenant to an edge."""
 
     def __init__(self, runtime: Runtime, edge: Address, tenant: str, token: str) -> None:
         self._runtime = runtime
@@ -53,7 +57,7 @@
     def send(
         self, kind: RequestKind, nonce: str, key: str = "", deadline_ms: int = 0
     ) -> ClientResult:
-        """Send one request and return what was told.
+        """Send one request and return its result.
 
         :param deadline_ms: a deadline shorter than the route's; 0 for none.
         """
@@ -66,7 +70,9 @@
             headers.append((header_names.IDEMPOTENCY_KEY, key))
         response: HttpResponse | None = None
         try:
-            response = self._http.request(kind.method, path, headers, timeout=CLIENT_SECONDS)
+            response = self._http.request(
+                kind.method, path, headers, timeout=CLIENT_TIMEOUT_SECONDS
+            )
             body = response.read()
         except (HttpRequestError, AnswerCutError) as error:
             outcome = "cut" if isinstance(error, AnswerCutError) else "lost"
@@ -80,7 +86,7 @@
         outcome = fields.get(header_names.OUTCOME.lower(), "lost")
         wrong = ""
         if outcome == "answered" and response.status < 300:
-            wrong = wrong_with(body, nonce)
+            wrong = body_defect(body, nonce)
         return ClientResult(
             kind=kind.name,
             nonce=nonce,
--- a/src/cranklane_lab/standins/content.py
+++ b/src/cranklane_lab/standins/content.py
@@ -1,7 +1,7 @@
-"""Bodies that a client can check to the last byte.
+"""Response bodies that a client can verify completely.
 
-A body is a line of JSON that names the request it answers, and a filling that
-depends on that request.
+A body is a line of JSON that names its request, followed by padding derived from the
+request's nonce.
 """
 
 from __future__ import annotations
@@ -13,44 +13,44 @@
 CHUNK_BYTES = 32 * 1024
 
 
-def _filling(nonce: str) -> bytes:
+def _padding(nonce: str) -> bytes:
     block = hashlib.sha256(nonce.encode()).digest()
     return block * (CHUNK_BYTES // len(block))
 
 
 def body_chunks(nonce: str, worker: str, size: int) -> Iterator[bytes]:
-    """Yield a body of about ``size`` bytes in pieces; a short one is one piece."""
+    """Yield a body with ``size`` bytes of padding in chunks; a short one is one chunk."""
     line = json.dumps({"nonce": nonce, "worker": worker, "size": size}).encode() + b"\n"
-    filling = _filling(nonce)
-    yield line + filling[: min(size, len(filling))]
-    left = size - len(filling)
-    while left > 0:
-        yield filling[: min(left, len(filling))]
-        left -= len(filling)
+    padding = _padding(nonce)
+    yield line + padding[: min(size, len(padding))]
+    remaining_bytes = size - len(padding)
+    while remaining_bytes > 0:
+        yield padding[: min(remaining_bytes, len(padding))]
+        remaining_bytes -= len(padding)
 
 
-def wrong_with(body: bytes, nonce: str) -> str:
-    """Return what is wrong with a body as the answer to ``nonce``; empty when right.
+def body_defect(body: bytes, nonce: str) -> str:
+    """Return the defect of a body as the response to ``nonce``; empty if there is none.
 
-    >>> wrong_with(b"".join(body_chunks("a", "w", 70_000)), "a")
+    >>> body_defect(b"".join(body_chunks("a", "w", 70_000)), "a")
     ''
-    >>> wrong_with(b"".join(body_chunks("a", "w", 70_000))[:-1], "a")
+    >>> body_defect(b"".join(body_chunks("a", "w", 70_000))[:-1], "a")
     'the body is not whole'
-    >>> wrong_with(b"".join(body_chunks("b", "w", 10)), "a")
+    >>> body_defect(b"".join(body_chunks("b", "w", 10)), "a")
     "the answer is another request's"
     """
-    line, _, filling = body.partition(b"\n")
+    line, _, padding = body.partition(b"\n")
     try:
         head = json.loads(line)
     except ValueError:
-        return "the body is not the worker's"
+        return "the body does not begin with a JSON line"
     if head.get("nonce") != nonce:
         return "the answer is another request's"
-    if len(filling) != head["size"]:
+    if len(padding) != head["size"]:
         return "the body is not whole"
-    expected = _filling(nonce)
-    for start in range(0, len(filling), len(expected)):
-        piece = filling[start : start + len(expected)]
-        if piece != expected[: len(piece)]:
-            return "the body's bytes are wrong"
+    expected = _padding(nonce)
+    for start in range(0, len(padding), len(expected)):
+        chunk = padding[start : start + len(expected)]
+        if chunk != expected[: len(chunk)]:
+            return "the padding differs from the expected bytes"
     return ""
--- a/src/cranklane_lab/standins/operator.py
+++ b/src/cranklane_lab/standins/operator.py
@@ -1,4 +1,4 @@
-"""An operator: calls the operator interface of whichever control process answers."""
+"""An operator that calls the operator API of the control processes."""
 
 from __future__ import annotations
 
@@ -15,14 +15,15 @@
 OPERATOR_TOKEN = "lab-operator"
 _UNAVAILABLE = 503
 _TIMEOUT_SECONDS = 8.0
-_PAUSE_SECONDS = 0.3
+_RETRY_PAUSE_SECONDS = 0.3
 
 
 @dataclass(frozen=True)
 class OperatorAnswer:
-    """What an operator was told.
+    """A response of the operator API.
 
-    :ivar status: HTTP status; 0 when no answer came.
+    :ivar status: HTTP status; 0 without a valid response.
+    :ivar media: decoded JSON body.
     """
 
     status: int
@@ -34,13 +35,13 @@
         return self.status == 200 and self.media.get("result") == "accepted"
 
     @property
-    def settled(self) -> bool:
-        """Whether the answer is final: accepted, or refused without effect."""
+    def is_final(self) -> bool:
+        """Whether the response is final: the edit was accepted, or refused without effect."""
         return self.status not in (0, _UNAVAILABLE)
 
 
 class SimulatedOperator:
-    """One operator; asks one control process after the other until one leads."""
+    """An operator that tries control processes in turn until one gives a final response."""
 
     def __init__(
         self, runtime: Runtime, controls: list[Address], token: str = OPERATOR_TOKEN
@@ -50,7 +51,10 @@
         self._token = token
 
     def ask(self, control: Address, method: str, path: str, media: Any = None) -> OperatorAnswer:
-        """Ask one control process once."""
+        """Send one request to a control process.
+
+        :param media: JSON body; None for no body.
+        """
         headers = [
             ("Authorization", f"Bearer {self._token}"),
             ("Content-Type", "application/json"),
@@ -68,20 +72,27 @@
     def call(
         self, method: str, path: str, media: Any = None, seconds: float = 20
     ) -> OperatorAnswer:
-        """Ask until one control process gives a final answer, or the time is up."""
-        until = self._runtime.monotonic() + seconds
+        """Send a request to the control processes in turn until a response is final.
+
+        :param seconds: time after which the last response is returned even if not final.
+        """
+        deadline = self._runtime.monotonic() + seconds
         answer = OperatorAnswer(0)
-        while self._runtime.monotonic() < until:
+        while self._runtime.monotonic() < deadline:
             for control in self._controls:
                 answer = self.ask(control, method, path, media)
-                if answer.settled:
+                if answer.is_final:
                     return answer
-            gevent.sleep(_PAUSE_SECONDS)
+            gevent.sleep(_RETRY_PAUSE_SECONDS)
         return answer
 
     def edit(
         self, name: str, text: str, base: int, request: str, seconds: float = 20
     ) -> OperatorAnswer:
-        """Edit a document, sending the same request again until it is answered."""
+        """Edit a document, retrying with the same request id until a response is final.
+
+        :param base: version that the edit is based on.
+        :param request: request id.
+        """
         media = {"text": text, "base": base, "request": request}
         return self.call("PUT", f"/v1/documents/{name}", media, seconds)
--- a/src/cranklane_lab/standins/raw_http.py
+++ b/src/cranklane_lab/standins/raw_http.py
@@ -1,4 +1,4 @@
-"""A caller that sees every byte: what came, and whether it looked whole."""
+"""A low-level HTTP client that exposes the framing of responses."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 @dataclass
 class RawAnswer:
-    """One answer.
+    """A received response.
 
-    :ivar whole: whether its framing says that it is complete.
-    :ivar closes: whether the far end ends the connection with it.
+    :ivar headers: values by lower-case name.
+    :ivar whole: whether it is complete by its framing.
+    :ivar closes: whether the server closes the connection after it.
     """
 
     status: int
@@ -28,7 +29,7 @@
 
 
 class RawConnection:
-    """A connection that sends requests as given and reads answers."""
+    """A connection that sends raw request bytes and reads responses."""
 
     def __init__(self, runtime: Runtime, address: Address, timeout: float = 10.0) -> None:
         self.stream: Any = runtime.connect(address, 1.0)
@@ -36,11 +37,14 @@
         self._reader = AnswerReader(self.stream, MAX_HEAD_BYTES)
 
     def send(self, data: bytes) -> None:
-        """Send bytes as they are."""
+        """Send raw bytes."""
         self.stream.sendall(data)
 
     def answer(self, bodiless: bool = False) -> RawAnswer | None:
-        """Return the next answer; None when the connection ends without one."""
+        """Return the next response; None if the connection ends without one.
+
+        :param bodiless: whether the response has no body, as one to HEAD.
+        """
         try:
             head = self._reader.next_head(bodiless)
         except (OSError, MessageCutError, MalformedMessageError):
@@ -51,8 +55,8 @@
             closes=not head.keep_alive,
         )
         try:
-            while piece := self._reader.next_piece():
-                answer.body += piece
+            while chunk := self._reader.next_piece():
+                answer.body += chunk
         except (OSError, MessageCutError, MalformedMessageError):
             answer.whole = False
             return answer
@@ -60,12 +64,12 @@
         return answer
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self.stream.close()
 
 
 def request_bytes(method: str, path: str, headers: dict[str, str], body: bytes = b"") -> bytes:
-    """Return a request; its length is stated when it has a body."""
+    """Return an encoded request, with Content-Length if it has a body."""
     lines = [f"{method} {path} HTTP/1.1"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if body:
@@ -82,7 +86,7 @@
     body: bytes = b"",
     timeout: float = 10.0,
 ) -> RawAnswer | None:
-    """Send one request on a connection of its own; None without an answer."""
+    """Send one request on a new connection; return None without a response."""
     try:
         connection = RawConnection(runtime, address, timeout)
     except OSError:
--- a/src/cranklane_lab/standins/routed_worker.py
+++ b/src/cranklane_lab/standins/routed_worker.py
@@ -1,7 +1,7 @@
-"""A back end behind a sidecar: runs, refuses, drains, and misbehaves when told to.
+"""A stand-in worker behind a sidecar, with fault injection.
 
-It speaks the product's own header names. Faults are set on its state, each as
-the number of coming requests that it strikes.
+It uses the product's header names. A test injects a fault by setting the number of
+requests that it affects in :class:`RoutedWorkerState`.
 """
 
 from __future__ import annotations
@@ -24,15 +24,19 @@
 HEARTBEAT_SECONDS = 1.5
 HEALTH_PATH = "/healthz"
 INTEGRITY = b"whole"
-_LOOK_SECONDS = 0.02
+_POLL_SECONDS = 0.02
 
 CRASH_SECONDS = 0.05
-"""A worker ends this long after it began to run a request that ends it."""
+"""Delay between the start of a crashing request and the crash."""
 
 
 @dataclass
 class RoutedRun:
-    """One request that the worker has begun to run."""
+    """A request that the worker started to run.
+
+    :ivar request: request id.
+    :ivar at: monotonic second at which it started.
+    """
 
     request: str
     method: bytes
@@ -43,31 +47,39 @@
     cancelled: bool = False
 
     def value(self, name: bytes) -> bytes:
-        """Return the first value of a header, or nothing."""
+        """Return the first value of a header; empty if it is missing."""
         return next((v for n, v in self.headers if n.lower() == name.lower()), b"")
 
 
 @dataclass
 class RoutedWorkerState:
-    """What a test can see and change.
-
-    :ivar seconds: time one request takes.
-    :ivar lose_answers: requests to run whose connection is then reset.
-    :ivar cut_answers: answers to break off in the middle.
-    :ivar surplus_answers: answers that another one follows.
-    :ivar late_answers: answers before which one to another request stands.
-    :ivar garbage_answers: answers that are no HTTP.
-    :ivar unframed_answers: answers without length, ended by their connection.
-    :ivar refuse: requests to refuse as not run.
-    :ivar fail: requests to run and answer with 500.
-    :ivar body: of each answer.
-    :ivar echoes: whether its answers name their request instead.
-    :ivar work: does the work of a run and returns the status of its answer; it takes the
-        place of ``seconds`` and ``status``.
-    :ivar slower: factor on the time of its work, for ``work`` to heed.
-    :ivar shed_part: part of the requests that it refuses as not run.
-    :ivar crash_mark: requests whose target holds it end the worker; nothing: none do.
-    :ivar on_crash: brings that end about.
+    """The behaviour, faults and counters of a worker.
+
+    Faults are numbers of requests still to be affected.
+
+    :ivar seconds: work time of a request.
+    :ivar status: HTTP status of a response.
+    :ivar lose_answers: fault: run the request, then close the connection.
+    :ivar cut_answers: fault: break off the response in the middle of its body.
+    :ivar surplus_answers: fault: send an extra response after the right one.
+    :ivar late_answers: fault: send a response to another request before the right one.
+    :ivar garbage_answers: fault: send bytes that aren't HTTP.
+    :ivar unframed_answers: fault: send a response without length and close the connection.
+    :ivar unmarked_answers: fault: send a response without the integrity header.
+    :ivar refuse: fault: refuse the request as not run.
+    :ivar fail: fault: run the request and respond with 500.
+    :ivar body: body of a response.
+    :ivar echoes: whether a response body names its request instead.
+    :ivar work: runs a request and returns its status; replaces ``seconds`` and ``status``.
+    :ivar work_time_factor: factor on the work time, to be applied by ``work``.
+    :ivar shed_fraction: fraction of requests to refuse as not run.
+    :ivar crash_mark: mark in the target of requests that crash the worker; empty for none.
+    :ivar on_crash: called with a run that crashes the worker.
+    :ivar arrivals: number of received requests.
+    :ivar connections: number of accepted connections.
+    :ivar running: number of requests in flight.
+    :ivar most_running: maximum of ``running`` so far.
+    :ivar runs: all started runs.
     """
 
     seconds: float = 0.02
@@ -84,8 +96,8 @@
     body: bytes = b"answer"
     echoes: bool = False
     work: Callable[[RoutedRun], int] | None = None
-    slower: float = 1.0
-    shed_part: float = 0.0
+    work_time_factor: float = 1.0
+    shed_fraction: float = 0.0
     crash_mark: bytes = b""
     on_crash: Callable[[RoutedRun], None] | None = None
     arrivals: int = 0
@@ -94,18 +106,22 @@
     most_running: int = 0
     runs: list[RoutedRun] = field(default_factory=list)
 
-    def strikes(self, fault: str) -> bool:
-        """Return whether a fault strikes now, and count it."""
-        left = getattr(self, fault)
-        if left:
-            setattr(self, fault, left - 1)
-        return left > 0
+    def consume_fault(self, fault: str) -> bool:
+        """Return whether a fault applies to this request, and decrement its counter."""
+        count = getattr(self, fault)
+        if count:
+            setattr(self, fault, count - 1)
+        return count > 0
 
 
 class RoutedWorker:
-    """One stand-in worker process.
+    """A stand-in worker.
 
-    :param registry: where its heartbeats go.
+    :param address: address to serve requests on.
+    :param registry: address of the sidecar's registry, which receives its heartbeats.
+    :param slots: concurrency that it announces.
+    :ivar phase: ``ready`` or ``draining``.
+    :ivar ended: whether it has exited.
     """
 
     def __init__(
@@ -131,10 +147,10 @@
         self._streams: set[Any] = set()
         self._listener = runtime.listen(address, self._accept)
 
-    # What it tells its sidecar.
+    # Registration.
 
     def beat(self) -> int:
-        """Send one heartbeat; return the answer's status, 0 without one."""
+        """Send one heartbeat; return the response's status, 0 without a response."""
         self._sequence += 1
         body = {
             "service": self.service,
@@ -143,40 +159,40 @@
             "sequence": self._sequence,
             "cold_remaining_ms": 0,
         }
-        return self._tell("heartbeat", json.dumps(body).encode())
+        return self._post("heartbeat", json.dumps(body).encode())
 
     def drain(self) -> int:
-        """Tell that it takes no new work."""
+        """Announce that it takes no new requests; return the response's status."""
         self.phase = "draining"
         return self.beat()
 
     def deregister(self) -> int:
-        """Tell that it ends."""
-        return self._tell("deregister", b"")
+        """Deregister from the sidecar; return the response's status."""
+        return self._post("deregister", b"")
 
     def beat_on(self) -> None:
-        """Send heartbeats for ever."""
+        """Send heartbeats until the worker exits."""
         while not self.ended:
             self.beat()
             gevent.sleep(self._heartbeat_seconds)
 
-    def _tell(self, call: str, body: bytes) -> int:
+    def _post(self, call: str, body: bytes) -> int:
         path = f"/v1/instances/{self.instance}/{call}"
         answer = exchange(self._runtime, self._registry, "POST", path, {}, body)
         return answer.status if answer is not None else 0
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Stop accepting connections."""
         self._listener.close()
 
     def end(self) -> None:
-        """End as a process does: its port and its connections close, and it says nothing."""
+        """Simulate a process exit: close the port and all connections, without deregistering."""
         self.ended = True
         self.close()
         for stream in list(self._streams):
             stream.close()
 
-    # What it serves.
+    # Requests.
 
     def _accept(self, stream: Any, _address: Address) -> None:
         self.state.connections += 1
@@ -188,7 +204,7 @@
                 if head is None or not self._serve(stream, reader, head):
                     return
         except (OSError, MalformedMessageError, MessageCutError):
-            # The sidecar has left; its own checks judge what it sent.
+            # The sidecar disconnected or sent an invalid request: either ends the connection.
             pass
         finally:
             self._streams.discard(stream)
@@ -197,19 +213,19 @@
     def _serve(self, stream: Any, reader: RequestReader, head: RequestHead) -> bool:
         if head.target == HEALTH_PATH.encode():
             reader.finish()
-            return self._tell_health(stream)
+            return self._send_health(stream)
         state = self.state
         state.arrivals += 1
         body = b""
-        while piece := reader.next_piece():
-            body += piece
+        while chunk := reader.next_piece():
+            body += chunk
         reader.finish()
         request = head.value(NAMES.request.lower()) or b""
         expected = head.value(NAMES.instance.lower())
         if expected is not None and expected != self.instance.encode():
             return self._answer(stream, request, 421, b"", not_run=True)
-        sheds = state.shed_part and self._runtime.random.random() < state.shed_part
-        if sheds or state.strikes("refuse"):
+        is_shed = state.shed_fraction and self._runtime.random.random() < state.shed_fraction
+        if is_shed or state.consume_fault("refuse"):
             return self._answer(stream, request, 503, b"", not_run=True)
         run = RoutedRun(
             request.decode(),
@@ -233,7 +249,7 @@
             return False
         return self._finish(stream, request)
 
-    def _tell_health(self, stream: Any) -> bool:
+    def _send_health(self, stream: Any) -> bool:
         status = 200 if self.phase == "ready" else 503
         stream.sendall(
             b"%s%s: %s\r\n%s: %d,0,%d\r\nContent-Length: 0\r\n\r\n"
@@ -249,14 +265,14 @@
         return True
 
     def _work(self, stream: Any, run: RoutedRun) -> bool:
-        """Run a request; return whether somebody still waits for its answer."""
+        """Spend the work time of a request; return False if the caller disconnects."""
         state = self.state
         state.running += 1
         state.most_running = max(state.most_running, state.running)
         ends_at = self._runtime.monotonic() + state.seconds
         try:
             while self._runtime.monotonic() < ends_at:
-                gevent.sleep(min(_LOOK_SECONDS, max(0.0, ends_at - self._runtime.monotonic())))
+                gevent.sleep(min(_POLL_SECONDS, max(0.0, ends_at - self._runtime.monotonic())))
                 if self._runtime.hung_up([stream]):
                     run.cancelled = True
                     return False
@@ -266,28 +282,28 @@
 
     def _finish(self, stream: Any, request: bytes) -> bool:
         state = self.state
-        if state.strikes("fail"):
+        if state.consume_fault("fail"):
             return self._answer(stream, request, 500, b"failed")
-        if state.strikes("lose_answers"):
+        if state.consume_fault("lose_answers"):
             return False
-        if state.strikes("garbage_answers"):
+        if state.consume_fault("garbage_answers"):
             stream.sendall(b"\x00\x01 no answer at all\r\n\r\n")
             return False
-        if state.strikes("late_answers"):
+        if state.consume_fault("late_answers"):
             self._answer(stream, b"another-request", 200, b"of another request")
-        if state.strikes("cut_answers"):
-            whole = self._bytes(request, state.status, state.body)
-            stream.sendall(whole[: len(whole) - max(1, len(state.body) // 2)])
+        if state.consume_fault("cut_answers"):
+            encoded = self._bytes(request, state.status, state.body)
+            stream.sendall(encoded[: len(encoded) - max(1, len(state.body) // 2)])
             return False
-        if state.strikes("unframed_answers"):
-            whole = self._bytes(request, state.status, state.body, framed=False)
-            stream.sendall(whole)
+        if state.consume_fault("unframed_answers"):
+            encoded = self._bytes(request, state.status, state.body, framed=False)
+            stream.sendall(encoded)
             return False
-        if state.strikes("unmarked_answers"):
+        if state.consume_fault("unmarked_answers"):
             return self._answer(stream, request, state.status, state.body, marked=False)
         body = b"ran " + request if state.echoes else state.body
         self._answer(stream, request, state.status, body)
-        if state.strikes("surplus_answers"):
+        if state.consume_fault("surplus_answers"):
             self._answer(stream, request, 200, b"once more")
         return True
 
--- a/src/cranklane_lab/standins/worker.py
+++ b/src/cranklane_lab/standins/worker.py
@@ -1,7 +1,7 @@
-"""A back end: slots, drain, cold start, shedding, cancellation, deadlines, lies.
+"""A stand-in worker with slots, drain, cold start, shedding, cancellation and deadlines.
 
-It serves the work of its :class:`~cranklane_lab.deployments.ServicePlan` and
-makes its child calls through its node.
+It serves the work of its :class:`~cranklane_lab.deployments.ServicePlan` and makes child
+calls through its node.
 """
 
 from __future__ import annotations
@@ -22,18 +22,21 @@
 from cranklane_lab.deployments import ServicePlan, Work
 from cranklane_lab.standins.content import body_chunks
 
-CANCEL_LOOK_SECONDS = 0.02
-"""Seconds between looks at whether anybody still waits."""
+CANCEL_POLL_SECONDS = 0.02
+"""Interval of checks for a disconnected caller or a passed deadline."""
+
+COLD_START_FACTOR = 3.0
+"""Factor on the work time during a cold start."""
 
-COLD_FACTOR = 3.0
 _NO_DEADLINE_MS = 3_600_000
 
 
 @dataclass(frozen=True)
 class WorkerRun:
-    """One call that a worker has in truth started.
+    """A call that a worker started to run.
 
-    :ivar at: monotonic second at the worker.
+    :ivar at: the worker's monotonic second of the start.
+    :ivar key: idempotency key; empty without one.
     """
 
     at: float
@@ -46,14 +49,19 @@
 
 @dataclass
 class WorkerState:
-    """What a test can see and change of a worker.
-
-    :ivar runs: (nonce, idempotency key) of each call it has started.
-    :ivar finished: nonces of the calls it has run to their end.
-    :ivar slow_factor: multiplies the time of all work.
-    :ivar fail_fraction: part of its calls that it runs and then answers with 500.
-    :ivar child_retries: how often it repeats a child call that failed, at once.
-    :ivar cold_until: monotonic second until which work takes longer.
+    """The behaviour, faults and counters of a worker.
+
+    :ivar runs: nonce and idempotency key of each started call.
+    :ivar finished: nonces of the completed calls.
+    :ivar running: number of calls in flight.
+    :ivar most_running: maximum of ``running`` so far.
+    :ivar shed: number of refused calls.
+    :ivar cancelled: number of calls ended by a deadline, a disconnect or a failed child call.
+    :ivar slow_factor: factor on the work time.
+    :ivar fail_fraction: fraction of calls that run and then get a 500.
+    :ivar child_retries: number of immediate retries of a failed child call.
+    :ivar cold_until: monotonic second at which the cold start ends.
+    :ivar draining: whether it refuses all calls.
     """
 
     runs: list[tuple[str, str]] = field(default_factory=list)
@@ -70,9 +78,11 @@
 
 
 class Worker:
-    """One stand-in worker process.
+    """A stand-in worker.
 
-    :param node: the HTTP address of its node, for child calls.
+    :param address: address to serve calls on.
+    :param node: HTTP address of its node, for child calls.
+    :param on_run: called for each call that the worker starts to run.
     """
 
     def __init__(
@@ -98,11 +108,11 @@
         self.server = HttpServer(runtime, address, application)
 
     def on_get_state(self, _request: falcon.Request, response: falcon.Response) -> None:
-        """Return what the worker has run, for checks from outside."""
+        """Return the started and the completed calls."""
         response.media = {"runs": self.state.runs, "finished": self.state.finished}
 
     def on_post_state(self, request: falcon.Request, response: falcon.Response) -> None:
-        """Set ``slow_factor`` or ``draining``."""
+        """Set attributes of :class:`WorkerState` from the JSON body."""
         for key, value in request.get_media().items():
             setattr(self.state, key, value)
         response.media = {}
@@ -158,17 +168,17 @@
             self.state.running -= 1
 
     def _work(self, request: falcon.Request, work: Work) -> bool:
-        """Spend the work's time; return False when nobody waits any more."""
+        """Spend the work time; return False at the deadline or if the caller disconnects."""
         now = self._runtime.monotonic()
         seconds = work.seconds * self.state.slow_factor
         if now < self.state.cold_until:
-            seconds *= COLD_FACTOR
-        until = now + seconds
+            seconds *= COLD_START_FACTOR
+        ends_at = now + seconds
         deadline_ms = request.get_header(header_names.DEADLINE_MS) or _NO_DEADLINE_MS
         deadline = now + int(deadline_ms) / 1000
         connection = request.env.get(CONNECTION_KEY)
-        while now < until:
-            gevent.sleep(min(CANCEL_LOOK_SECONDS, until - now))
+        while now < ends_at:
+            gevent.sleep(min(CANCEL_POLL_SECONDS, ends_at - now))
             now = self._runtime.monotonic()
             if now >= deadline or self._runtime.hung_up([connection]):
                 return False
@@ -191,12 +201,12 @@
         self, service: str, path: str, nonce: str, headers: list[tuple[str, str]]
     ) -> bool:
         attempts = 1 + self.state.child_retries
-        return any(self._try_child(service, path, nonce, headers) for _ in range(attempts))
+        return any(self._attempt_child(service, path, nonce, headers) for _ in range(attempts))
 
-    def _request_again_when_stale(
+    def _request_with_stale_retry(
         self, target: str, headers: list[tuple[str, str]]
     ) -> HttpResponse:
-        """Do as common HTTP clients do when a kept connection was closed meanwhile."""
+        """Send a request; retry once, as HTTP clients do for a stale keep-alive connection."""
         try:
             return self._node.request("GET", target, headers)
         except HttpRequestError as error:
@@ -204,12 +214,12 @@
                 raise
             return self._node.request("GET", target, headers)
 
-    def _try_child(
+    def _attempt_child(
         self, service: str, path: str, nonce: str, headers: list[tuple[str, str]]
     ) -> bool:
         target = f"/{self._tenant}/{service}{path}?nonce={nonce}"
         try:
-            response = self._request_again_when_stale(target, headers)
+            response = self._request_with_stale_retry(target, headers)
             for _ in response.body():
                 pass
         except (HttpRequestError, AnswerCutError):
--- a/src/cranklane_lab/standins/worker_main.py
+++ b/src/cranklane_lab/standins/worker_main.py
@@ -1,6 +1,6 @@
-"""Runs one stand-in worker as a process.
+"""Runs a stand-in worker as a process.
 
-Arguments: deployment, service, name, own address, address of its node.
+Arguments: deployment, service, worker name, worker address, node address.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Serve until the process is ended."""
+    """Serve until the process is killed."""
     deployment, service, name, address, node = arguments
     plan = find_deployment(deployment).service(service)
     worker = Worker(
--- a/src/cranklane_lab/trees/play.py
+++ b/src/cranklane_lab/trees/play.py
@@ -29,7 +29,7 @@
 """One way between zones, as on the smaller deployments of the users."""
 
 SLOW_FACTOR = 4.0
-SHED_PART = 0.45
+SHED_FRACTION = 0.45
 SETTLE_SECONDS = 2.0
 _OK = 200
 _SERVER_ERROR = 500
@@ -112,8 +112,8 @@
         """Do a run's own work and make its calls; return the status of its answer."""
         kind = self._deployment.kinds[run.target.decode().split("/")[1]]
         until = self._world.loop.now() + int(run.value(NAMES.deadline)) / 1000
-        slower = machine.worker.state.slower
-        gevent.sleep(kind.work_seconds * speed * slower * self._random.uniform(0.5, 1.5))
+        work_time_factor = machine.worker.state.work_time_factor
+        gevent.sleep(kind.work_seconds * speed * work_time_factor * self._random.uniform(0.5, 1.5))
         if kind.calls is None:
             return _OK
         called, times = kind.calls
@@ -142,12 +142,12 @@
         machine = next(m for m in self._mesh.machines if m.service == deployment.narrow.name)
         gevent.sleep(SURGE_FROM)
         if deployment.trouble is Trouble.SLOW:
-            machine.worker.state.slower = SLOW_FACTOR
+            machine.worker.state.work_time_factor = SLOW_FACTOR
         if deployment.trouble is Trouble.SHEDS:
-            machine.worker.state.shed_part = SHED_PART
+            machine.worker.state.shed_fraction = SHED_FRACTION
         gevent.sleep(SURGE_TO - SURGE_FROM)
-        machine.worker.state.slower = 1.0
-        machine.worker.state.shed_part = 0.0
+        machine.worker.state.work_time_factor = 1.0
+        machine.worker.state.shed_fraction = 0.0
 
     # Clients.
 
