--- a/src/cranklane_lab/trees/__init__.py
+++ b/src/cranklane_lab/trees/__init__.py
@@ -1,5 +1,4 @@
-"""Deployments drawn at random, whose call trees end in one narrow service.
+"""Random deployments whose call trees share one bottleneck service.
 
-Policy must serve deployments that nobody has seen: what a change gains is measured on many
-of these before it is believed.
+They evaluate a policy change on many deployments that it was not tuned for.
 """
--- a/src/cranklane_lab/trees/play.py
+++ b/src/cranklane_lab/trees/play.py
@@ -1,4 +1,4 @@
-"""Plays a drawn deployment in the simulated world with the product's own processes."""
+"""Runs a random deployment in simulation with the production processes."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 from cranklane_lab.simulation.world import World, simulate
 from cranklane_lab.standins.raw_http import exchange
 from cranklane_lab.standins.routed_worker import NAMES, RoutedRun
-from cranklane_lab.trees.drawn import (
-    LATE_WORTH,
-    SURGE_FROM,
-    SURGE_TO,
+from cranklane_lab.trees.generator import (
+    LATE_WORTH_FRACTION,
+    SURGE_END_SECONDS,
+    SURGE_START_SECONDS,
     TRAFFIC_SECONDS,
     Deployment,
     Kind,
-    Trouble,
-    draw,
-    most_worth,
+    WorkerFault,
+    generate,
+    max_worth,
 )
 
-ZONE_SECONDS = 0.0009
-"""One way between zones, as on the smaller deployments of the users."""
+INTER_ZONE_DELAY_SECONDS = 0.0009
+"""One-way delay between zones."""
 
 SLOW_FACTOR = 4.0
 SHED_FRACTION = 0.45
@@ -37,50 +37,52 @@
 
 
 @dataclass
-class Played:
-    """What clients got of one deployment.
-
-    :ivar offered: requests by kind.
-    :ivar in_time: those answered within their objective.
-    :ivar late: those answered later.
-    :ivar refused_again: those refused at their second try too.
-    :ivar narrow_runs: runs at the narrow service.
+class DeploymentResult:
+    """The results of one deployment, counted by root kind.
+
+    :ivar offered: requests sent, without retries.
+    :ivar in_time: requests with a successful response within the objective.
+    :ivar late: requests with a successful response after the objective.
+    :ivar retry_refused: requests whose retry was refused too.
+    :ivar bottleneck_runs: number of runs at the bottleneck.
+    :ivar worth: total worth earned.
+    :ivar bound: upper bound on ``worth``.
     """
 
     seed: int
     offered: Counter[str] = field(default_factory=Counter)
     in_time: Counter[str] = field(default_factory=Counter)
     late: Counter[str] = field(default_factory=Counter)
-    refused_again: Counter[str] = field(default_factory=Counter)
-    narrow_runs: int = 0
+    retry_refused: Counter[str] = field(default_factory=Counter)
+    bottleneck_runs: int = 0
     worth: float = 0.0
     bound: float = 0.0
 
     @property
     def earned_fraction(self) -> float:
-        """Earned worth as a fraction of the most that could be earned."""
+        """Earned worth as a fraction of its upper bound."""
         return self.worth / self.bound if self.bound else 1.0
 
 
-class _Play:
+class _DeploymentRun:
     def __init__(self, deployment: Deployment, world: World) -> None:
         self._deployment = deployment
         self._world = world
         self._random = Random(world.random.getrandbits(64))
         self._mesh = Mesh(world)
         self._tasks: list[gevent.Greenlet] = []
-        self.played = Played(deployment.seed)
+        self.result = DeploymentResult(deployment.seed)
 
-    def run(self) -> Played:
-        """Start everything, send the traffic and count."""
+    def run(self) -> DeploymentResult:
+        """Start the mesh, send the traffic and return the results."""
         self._start()
         for kind in self._deployment.roots():
             self._tasks.append(gevent.spawn(self._traffic, kind))
-        self._tasks.append(gevent.spawn(self._trouble))
+        self._tasks.append(gevent.spawn(self._inject_worker_fault))
         gevent.joinall(list(self._tasks))
         gevent.joinall(self._tasks)
         self._count()
-        return self.played
+        return self.result
 
     def _start(self) -> None:
         mesh, deployment = self._mesh, self._deployment
@@ -109,22 +111,24 @@
     # Workers.
 
     def _work(self, machine: MeshMachine, speed: float, run: RoutedRun) -> int:
-        """Do a run's own work and make its calls; return the status of its answer."""
+        """Spend a run's work time, make its downstream calls and return the HTTP status."""
         kind = self._deployment.kinds[run.target.decode().split("/")[1]]
-        until = self._world.loop.now() + int(run.value(NAMES.deadline)) / 1000
+        deadline = self._world.loop.now() + int(run.value(NAMES.deadline)) / 1000
         work_time_factor = machine.worker.state.work_time_factor
         gevent.sleep(kind.work_seconds * speed * work_time_factor * self._random.uniform(0.5, 1.5))
         if kind.calls is None:
             return _OK
-        called, times = kind.calls
+        callee, times = kind.calls
         for number in range(times):
-            left = until - self._world.loop.now()
-            if left <= 0 or not self._call(machine, called, f"{run.request}.{number}", left):
+            remaining = deadline - self._world.loop.now()
+            if remaining <= 0 or not self._call(
+                machine, callee, f"{run.request}.{number}", remaining
+            ):
                 return _SERVER_ERROR
         return _OK
 
-    def _call(self, machine: MeshMachine, kind: str, name: str, left: float) -> bool:
-        headers = self._headers(name, min(left, self._deployment.kinds[kind].deadline))
+    def _call(self, machine: MeshMachine, kind: str, name: str, remaining: float) -> bool:
+        headers = self._headers(name, min(remaining, self._deployment.kinds[kind].deadline))
         process = machine.worker_process
         answer = exchange(process, machine.callers, "GET", f"/{kind}/", headers)
         return answer is not None and answer.status == _OK
@@ -137,15 +141,19 @@
             NAMES.deadline.decode(): str(max(1, int(seconds * 1000))),
         }
 
-    def _trouble(self) -> None:
+    def _inject_worker_fault(self) -> None:
         deployment = self._deployment
-        machine = next(m for m in self._mesh.machines if m.service == deployment.narrow.name)
-        gevent.sleep(SURGE_FROM)
-        if deployment.trouble is Trouble.SLOW:
+        machine = next(
+            machine
+            for machine in self._mesh.machines
+            if machine.service == deployment.bottleneck.name
+        )
+        gevent.sleep(SURGE_START_SECONDS)
+        if deployment.worker_fault is WorkerFault.SLOW:
             machine.worker.state.work_time_factor = SLOW_FACTOR
-        if deployment.trouble is Trouble.SHEDS:
+        if deployment.worker_fault is WorkerFault.SHEDS:
             machine.worker.state.shed_fraction = SHED_FRACTION
-        gevent.sleep(SURGE_TO - SURGE_FROM)
+        gevent.sleep(SURGE_END_SECONDS - SURGE_START_SECONDS)
         machine.worker.state.work_time_factor = 1.0
         machine.worker.state.shed_fraction = 0.0
 
@@ -157,50 +165,54 @@
             elapsed = self._world.loop.now() - self._began_at
             if elapsed >= TRAFFIC_SECONDS:
                 return
-            surge = self._deployment.surge if SURGE_FROM <= elapsed < SURGE_TO else 1.0
+            surge = (
+                self._deployment.surge
+                if SURGE_START_SECONDS <= elapsed < SURGE_END_SECONDS
+                else 1.0
+            )
             gevent.sleep(self._random.expovariate(kind.rate * surge))
             number += 1
             self._tasks.append(gevent.spawn(self._client, kind, f"{kind.name}-{number}"))
 
     def _client(self, kind: Kind, name: str) -> None:
-        """Send one request, and once more when it is refused, as it is told to."""
-        self.played.offered[kind.name] += 1
+        """Send one request, and retry once after ``Retry-After`` if it is refused."""
+        self.result.offered[kind.name] += 1
         machine = self._random.choice(self._mesh.machines)
         process = self._mesh.client_process(f"client-{name}", machine.host)
         began_at = self._world.loop.now()
         for attempt in range(2):
-            left = kind.deadline - (self._world.loop.now() - began_at)
-            headers = self._headers(f"{name}-{attempt}", left)
+            remaining = kind.deadline - (self._world.loop.now() - began_at)
+            headers = self._headers(f"{name}-{attempt}", remaining)
             answer = exchange(process, machine.callers, "GET", f"/{kind.name}/", headers)
             if answer is not None and answer.status == _OK:
-                taken = self._world.loop.now() - began_at
-                counted = self.played.in_time if taken <= kind.objective else self.played.late
+                latency = self._world.loop.now() - began_at
+                counted = self.result.in_time if latency <= kind.objective else self.result.late
                 counted[kind.name] += 1
                 return
             if answer is None or answer.status != _REFUSED:
                 return
             if attempt == 0:
-                gevent.sleep(min(left / 3, float(answer.headers["retry-after"])))
-        self.played.refused_again[kind.name] += 1
+                gevent.sleep(min(remaining / 3, float(answer.headers["retry-after"])))
+        self.result.retry_refused[kind.name] += 1
 
     def _count(self) -> None:
-        played, deployment = self.played, self._deployment
+        result, deployment = self.result, self._deployment
         for kind in deployment.roots():
-            played.worth += kind.worth * played.in_time[kind.name]
-            played.worth += kind.worth * LATE_WORTH * played.late[kind.name]
-        played.bound = most_worth(deployment, dict(played.offered))
-        played.narrow_runs = sum(
+            result.worth += kind.worth * result.in_time[kind.name]
+            result.worth += kind.worth * LATE_WORTH_FRACTION * result.late[kind.name]
+        result.bound = max_worth(deployment, dict(result.offered))
+        result.bottleneck_runs = sum(
             len(machine.worker.state.runs)
             for machine in self._mesh.machines
-            if machine.service == deployment.narrow.name
+            if machine.service == deployment.bottleneck.name
         )
 
 
-def play(seed: int) -> Played:
-    """Play the deployment of a seed; the same seed gives the same result."""
-    deployment = draw(seed)
+def play(seed: int) -> DeploymentResult:
+    """Run the deployment of a seed; the result is deterministic."""
+    deployment = generate(seed)
     return simulate(
         seed,
-        lambda source, target: ZONE_SECONDS,
-        lambda world: _Play(deployment, world).run(),
+        lambda source, target: INTER_ZONE_DELAY_SECONDS,
+        lambda world: _DeploymentRun(deployment, world).run(),
     )
--- a/src/cranklane_lab/trees/report.py
+++ b/src/cranklane_lab/trees/report.py
@@ -1,4 +1,4 @@
-"""``cranklane-lab trees``: what is earned on drawn deployments, seed by seed."""
+"""Report of ``cranklane-lab trees``: earned worth for each random deployment."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from statistics import mean
 
 from cranklane_lab.simulate import quiet
-from cranklane_lab.trees.drawn import draw
-from cranklane_lab.trees.play import Played, play
+from cranklane_lab.trees.generator import generate
+from cranklane_lab.trees.play import DeploymentResult, play
 
 
-def play_seeds(seeds: Iterable[int], jobs: int) -> Iterator[Played]:
-    """Play the deployments of some seeds, several at once, and yield them in order.
+def play_seeds(seeds: Iterable[int], jobs: int) -> Iterator[DeploymentResult]:
+    """Run the deployments of the seeds in parallel and yield the results in order.
 
-    :param jobs: processes at once; 0: one for each core.
+    :param jobs: number of processes; 0 for one per core.
     """
     with ProcessPoolExecutor(jobs or None, initializer=quiet) as pool:
         yield from pool.map(play, seeds)
 
 
-def format_report(results: Iterable[Played]) -> Iterator[str]:
-    """Yield a line for each deployment, and the mean and the worst of all."""
+def format_report(results: Iterable[DeploymentResult]) -> Iterator[str]:
+    """Yield a line for each deployment, then one with their mean and minimum."""
     fractions = []
-    for played in results:
-        deployment = draw(played.seed)
-        offered = sum(played.offered.values())
-        fractions.append(played.earned_fraction)
+    for result in results:
+        deployment = generate(result.seed)
+        offered = sum(result.offered.values())
+        fractions.append(result.earned_fraction)
         yield (
-            f"seed {played.seed:>4}  depth {len(deployment.services)}"
+            f"seed {result.seed:>4}  depth {len(deployment.services)}"
             f"  load {deployment.load:.2f} x {deployment.surge:.2f}"
-            f"  {deployment.trouble.value:<5}  earned {played.earned_fraction:.3f}"
-            f"  in time {sum(played.in_time.values()) / offered:.3f}"
-            f"  refused again {sum(played.refused_again.values()) / offered:.3f}"
+            f"  {deployment.worker_fault.value:<5}  earned {result.earned_fraction:.3f}"
+            f"  in time {sum(result.in_time.values()) / offered:.3f}"
+            f"  refused again {sum(result.retry_refused.values()) / offered:.3f}"
         )
     yield f"earned of the most there was: mean {mean(fractions):.3f}, worst {min(fractions):.3f}"
