--- a/src/cranklane_lab/replay/__init__.py
+++ b/src/cranklane_lab/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded traces: what was sent and what failed when, with the outcomes stated."""
+"""Replay of traces: timed requests and faults with their expected outcomes."""
--- a/src/cranklane_lab/replay/player.py
+++ b/src/cranklane_lab/replay/player.py
@@ -1,4 +1,4 @@
-"""Plays a trace in a simulated world and checks promises and stated outcomes."""
+"""Plays a trace in simulation and checks promises and expected outcomes."""
 
 from __future__ import annotations
 
@@ -19,14 +19,16 @@
 from cranklane_lab.standins.client import Client
 
 SETTLE_SECONDS = 3.0
-"""Seconds after the last event before the run is judged."""
+"""Delay between the last event and the checks."""
 
 
 @dataclass(frozen=True)
-class Played:
-    """What came of a trace.
+class ReplayResult:
+    """The result of a trace.
 
-    :ivar differences: outcomes that differ from what the trace states.
+    :ivar differences: descriptions of unexpected outcomes.
+    :ivar outcomes: number of requests by outcome.
+    :ivar digest: SHA-256 digest of the event log.
     """
 
     violations: list[Violation]
@@ -36,14 +38,14 @@
 
 
 def deployment_of(trace: Trace) -> Deployment:
-    """Return the trace's deployment at its size."""
+    """Return the trace's deployment with its number of workers."""
     deployment = find_deployment(trace.deployment)
     services = tuple(replace(plan, workers=trace.workers) for plan in deployment.services)
     return replace(deployment, services=services)
 
 
 class Player:
-    """Carries out the events of one trace."""
+    """Executes the events of a trace."""
 
     def __init__(self, run: Run, trace: Trace, client: Client) -> None:
         self._run = run
@@ -52,20 +54,20 @@
         self.differences: list[str] = []
 
     def play(self) -> None:
-        """Carry out all events at their times and wait until all is over."""
+        """Execute all events at their times, then wait for them and settle."""
         started = self._run.world.loop.now()
         tasks = []
-        for event in sorted(self._trace.events, key=lambda item: item.at):
+        for event in sorted(self._trace.events, key=lambda event: event.at):
             gevent.sleep(max(0.0, started + event.at - self._run.world.loop.now()))
-            tasks.append(gevent.spawn(self._do, event))
+            tasks.append(gevent.spawn(self._execute, event))
         gevent.joinall(tasks)
         gevent.sleep(SETTLE_SECONDS)
 
-    def _do(self, event: Event) -> None:
+    def _execute(self, event: Event) -> None:
         actions: dict[str, Callable[[Event], None]] = {
             "request": self._request,
-            "kill": lambda event: self._end(event, power_lost=False),
-            "power": lambda event: self._end(event, power_lost=True),
+            "kill": lambda event: self._kill(event, power_lost=False),
+            "power": lambda event: self._kill(event, power_lost=True),
             "restart": self._restart,
             "freeze": self._freeze,
             "cut": lambda event: self._run.world.network.cut(event.source, event.target),
@@ -80,7 +82,7 @@
         result = self._run.send(self._client, kinds[event.kind], event.nonce, event.key)
         if event.expect and result.outcome not in event.expect:
             expected = " or ".join(event.expect)
-            self.differences.append(f"{event.nonce}: expected {expected}, told {result.outcome}")
+            self.differences.append(f"{event.nonce}: expected {expected}, got {result.outcome}")
 
     def _pair(self, event: Event) -> SimulatedPair:
         name = event.process.rpartition("-")[0]
@@ -96,7 +98,7 @@
         pair = self._pair(event)
         return pair.worker_process if number == "worker" else pair.node_process
 
-    def _end(self, event: Event, power_lost: bool) -> None:
+    def _kill(self, event: Event, power_lost: bool) -> None:
         process = self._process(event)
         if not process.dead:
             process.kill(power_lost=power_lost)
@@ -125,11 +127,14 @@
             pair.worker.state.slow_factor = event.factor
 
 
-def play(trace: Trace, switched_off: tuple[str, ...] = ()) -> Played:
-    """Play a trace in a world of its own."""
+def play(trace: Trace, switched_off: tuple[str, ...] = ()) -> ReplayResult:
+    """Play a trace in a new simulated world.
+
+    :param switched_off: names of mechanisms to switch off.
+    """
     deployment = deployment_of(trace)
 
-    def scenario(world: World) -> Played:
+    def scenario(world: World) -> ReplayResult:
         fleet = SimulatedFleet(world, deployment)
         run = Run(world, fleet, allowance=trace.allowance)
         fleet.on_run = run.recorder.ran
@@ -142,9 +147,9 @@
         for error in world.loop.task_errors:
             run.recorder.violate("no-task-fails", error)
         outcomes = dict(sorted(run.recorder.outcomes().items()))
-        return Played(run.recorder.violations, player.differences, outcomes, world.digest())
+        return ReplayResult(run.recorder.violations, player.differences, outcomes, world.digest())
 
-    played: Played
+    played: ReplayResult
     with without(switched_off):
         played = simulate(trace.seed, deployment.between_zones, scenario)
     return played
--- a/src/cranklane_lab/replay/run.py
+++ b/src/cranklane_lab/replay/run.py
@@ -1,4 +1,4 @@
-"""``cranklane-lab replay`` and ``cranklane-lab search``."""
+"""The commands ``cranklane-lab replay`` and ``cranklane-lab search``."""
 
 from __future__ import annotations
 
@@ -7,13 +7,16 @@
 from pathlib import Path
 
 from cranklane_lab.replay.generate import random_trace, shrink
-from cranklane_lab.replay.player import Played, play
+from cranklane_lab.replay.player import ReplayResult, play
 from cranklane_lab.replay.trace import Trace, TraceError, read
 from cranklane_lab.simulate import quiet
 
 
 def replay(path: Path, switched_off: tuple[str, ...] = ()) -> int:
-    """Play a trace file; return 1 when a promise or a stated outcome does not hold."""
+    """Play a trace file and print the result.
+
+    :returns: exit code: 1 for a violation or an unexpected outcome, 2 for an invalid file.
+    """
     quiet()
     try:
         trace = read(path)
@@ -26,18 +29,21 @@
     for difference in played.differences:
         print(f"differs: {difference}")
     outcomes = ", ".join(f"{name} {count}" for name, count in played.outcomes.items())
-    print(f"{path.name}: {len(trace.events)} events; told: {outcomes}")
+    print(f"{path.name}: {len(trace.events)} events; outcomes: {outcomes}")
     return 1 if played.violations or played.differences else 0
 
 
-def _play_seed(arguments: tuple[int, tuple[str, ...]]) -> Played:
+def _play_seed(arguments: tuple[int, tuple[str, ...]]) -> ReplayResult:
     quiet()
     seed, switched_off = arguments
     return play(random_trace(seed), switched_off)
 
 
 def search(seeds: range, switched_off: tuple[str, ...], folder: Path) -> int:
-    """Play random traces; write a short one for each seed that breaks a promise."""
+    """Play random traces and write a shrunk trace for each seed that violates a promise.
+
+    :returns: exit code: 1 for any violation.
+    """
     context = multiprocessing.get_context("spawn")
     with context.Pool(min(len(seeds), os.cpu_count() or 1)) as pool:
         results = pool.map(_play_seed, [(seed, switched_off) for seed in seeds], chunksize=1)
@@ -49,16 +55,16 @@
         promise = played.violations[0].promise
         print(f"seed {seed}: {promise}: {played.violations[0].detail}")
         path = folder / f"{promise}-{seed}.trace"
-        _shortened(seed, promise, switched_off).write(path)
+        _shrunk_trace(seed, promise, switched_off).write(path)
         options = "".join(f" --without {name}" for name in switched_off)
         print(f"  cranklane-lab replay {path}{options}")
-    print(f"{len(seeds) - len(broken)} of {len(seeds)} random traces held")
+    print(f"{len(seeds) - len(broken)} of {len(seeds)} random traces without violations")
     return 1 if broken else 0
 
 
-def _shortened(seed: int, promise: str, switched_off: tuple[str, ...]) -> Trace:
-    def breaks(trace: Trace) -> bool:
+def _shrunk_trace(seed: int, promise: str, switched_off: tuple[str, ...]) -> Trace:
+    def violates(trace: Trace) -> bool:
         played = play(trace, switched_off)
         return any(violation.promise == promise for violation in played.violations)
 
-    return shrink(random_trace(seed), breaks)
+    return shrink(random_trace(seed), violates)
--- a/src/cranklane_lab/replay/trace.py
+++ b/src/cranklane_lab/replay/trace.py
@@ -1,21 +1,21 @@
-"""The format of a trace: JSON lines, a head and then events in the order of time.
+"""The trace format: JSON lines, a header and then events in chronological order.
 
-The head names what to start::
+The header describes the fleet::
 
     {"trace": 1, "deployment": "songhan", "workers": 2, "controls": 1, "ledgers": 1,
      "seed": 7, "allowance": 3, "note": "why this trace is kept"}
 
-Each event has ``at``, seconds after the fleet serves, ``do``, and arguments:
+Each event has ``at`` (seconds since the fleet is ready), ``do`` and arguments:
 
 =============  ==========================================================
-request        ``kind``, ``nonce``, ``key``; ``expect``: outcomes allowed
-kill           ``process``: ends at once; its peers are told
-power          ``process``: its machine fails, unsynced bytes are lost
-restart        ``process``: starts again on its machine
+request        ``kind``, ``nonce``, ``key``; ``expect``: allowed outcomes
+kill           ``process``: killed; its connections are reset
+power          ``process``: its machine loses power and unsynced data
+restart        ``process``: restarted on its machine
 freeze         ``process``, ``seconds``
-cut, heal      ``source``, ``target``: one direction, silently
-slow           ``service``, ``factor``: all work takes so many times as long
-drain          ``process``: a node's drain signal
+cut, heal      ``source``, ``target``: one direction of a link
+slow           ``service``, ``factor``: factor on the work time
+drain          ``process``: drain signal to a node
 =============  ==========================================================
 
 A process is named ``SERVICE-N-worker``, ``SERVICE-N-node``, ``control-N`` or
@@ -29,7 +29,7 @@
 from pathlib import Path
 from typing import Any
 
-FORMAT = 1
+FORMAT_VERSION = 1
 OUTCOMES = frozenset({"answered", "not_run", "unknown", "cut", "lost"})
 ACTIONS = frozenset(
     {"request", "kill", "power", "restart", "freeze", "cut", "heal", "slow", "drain"}
@@ -37,9 +37,9 @@
 
 
 class TraceError(Exception):
-    """A trace file cannot be read.
+    """A trace file is missing or invalid.
 
-    :ivar problems: one line for each problem.
+    :ivar problems: one message for each problem.
     """
 
     def __init__(self, problems: list[str]) -> None:
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class Event:
-    """Something that happens at a time."""
+    """A timed event; the module's documentation lists the arguments of each ``do``."""
 
     at: float
     do: str
@@ -65,7 +65,7 @@
     factor: float = 1.0
 
     def as_json(self) -> dict[str, Any]:
-        """Return the event without what it does not state."""
+        """Return the event as a JSON object without default values."""
         empty = Event(self.at, self.do)
         return {
             key: value
@@ -76,7 +76,13 @@
 
 @dataclass(frozen=True)
 class Trace:
-    """A fleet and what happens to it."""
+    """The parameters of a fleet and the events to execute.
+
+    :ivar workers: workers per service.
+    :ivar controls: number of control processes.
+    :ivar ledgers: number of replicas in the ledger group.
+    :ivar allowance: retries that a root request may cause.
+    """
 
     deployment: str = "songhan"
     workers: int = 2
@@ -90,15 +96,15 @@
     def write(self, path: Path) -> None:
         """Write the trace to a file."""
         head = {key: value for key, value in asdict(self).items() if key != "events"}
-        lines = [json.dumps({"trace": FORMAT, **head})]
+        lines = [json.dumps({"trace": FORMAT_VERSION, **head})]
         lines += [json.dumps(event.as_json()) for event in self.events]
         path.write_text("\n".join(lines) + "\n")
 
 
 def read(path: Path) -> Trace:
-    """Return a trace from its file.
+    """Read a trace from a file.
 
-    :raises TraceError: naming every line that is wrong.
+    :raises TraceError: naming every invalid line.
     """
     try:
         lines = path.read_text().splitlines()
@@ -106,10 +112,10 @@
         raise TraceError([f"{path}: cannot be read: {error.strerror}"]) from error
     problems: list[str] = []
     parsed = [_parse(path, number, line, problems) for number, line in enumerate(lines, 1)]
-    if not parsed or parsed[0].pop("trace", None) != FORMAT:
-        problems.append(f"{path}: line 1: expected a head with trace {FORMAT}")
-    known = {item.name for item in fields(Trace)} - {"events"}
-    unknown = sorted(set(parsed[0] if parsed else {}) - known)
+    if not parsed or parsed[0].pop("trace", None) != FORMAT_VERSION:
+        problems.append(f"{path}: line 1: expected a header with trace {FORMAT_VERSION}")
+    known_keys = {key.name for key in fields(Trace)} - {"events"}
+    unknown = sorted(set(parsed[0] if parsed else {}) - known_keys)
     problems += [f"{path}: line 1: unknown key {key}" for key in unknown]
     events = [_event(path, number, media, problems) for number, media in enumerate(parsed[1:], 2)]
     if problems:
@@ -121,27 +127,27 @@
     try:
         media = json.loads(line)
     except ValueError as error:
-        problems.append(f"{path}: line {number}: is not JSON: {error}")
+        problems.append(f"{path}: line {number}: invalid JSON: {error}")
         return {}
     if not isinstance(media, dict):
-        problems.append(f"{path}: line {number}: expected an object")
+        problems.append(f"{path}: line {number}: expected a JSON object")
         return {}
     return media
 
 
 def _event(path: Path, number: int, media: dict[str, Any], problems: list[str]) -> Event:
-    known = {item.name for item in fields(Event)}
+    known_keys = {key.name for key in fields(Event)}
     if media.get("do") not in ACTIONS:
         problems.append(f"{path}: line {number}: do: expected one of {', '.join(sorted(ACTIONS))}")
         return Event(0.0, "")
-    unknown = sorted(set(media) - known)
+    unknown = sorted(set(media) - known_keys)
     problems += [f"{path}: line {number}: unknown key {key}" for key in unknown]
     if not isinstance(media.get("at"), int | float):
-        problems.append(f"{path}: line {number}: at: expected seconds")
+        problems.append(f"{path}: line {number}: at: expected a number of seconds")
     expect = media.get("expect", [])
     if not set(expect) <= OUTCOMES:
         problems.append(
             f"{path}: line {number}: expect: expected some of {', '.join(sorted(OUTCOMES))}"
         )
-    stated = {key: value for key, value in media.items() if key in known}
+    stated = {key: value for key, value in media.items() if key in known_keys}
     return Event(**{"at": 0.0, **stated, "expect": tuple(expect)})
