--- a/src/cranklane_lab/replay/trace.py
+++ b/src/cranklane_lab/replay/trace.py
@@ -149,5 +149,5 @@
         problems.append(
             f"{path}: line {number}: expect: expected some of {', '.join(sorted(OUTCOMES))}"
         )
-    stated = {key: value for key, value in media.items() if key in known_keys}
-    return Event(**{"at": 0.0, **stated, "expect": tuple(expect)})
+    arguments = {key: value for key, value in media.items() if key in known_keys}
+    return Event(**{"at": 0.0, **arguments, "expect": tuple(expect)})
--- a/src/cranklane_lab/scenarios/base.py
+++ b/src/cranklane_lab/scenarios/base.py
@@ -27,7 +27,7 @@
 
     :ivar allowance: retries that a root request may cause.
     :ivar edge_lost: whether the scenario killed an edge, so that requests may get no response.
-    :ivar watching: whether :meth:`watch_versions` goes on.
+    :ivar watching: whether :meth:`watch_versions` keeps running.
     """
 
     world: World
--- a/src/cranklane_lab/scenarios/control.py
+++ b/src/cranklane_lab/scenarios/control.py
@@ -221,7 +221,7 @@
         if len(accepted) != 1:
             run.recorder.violate("operator-race", f"{len(accepted)} of 4 edits were accepted")
         version = max([version, *(answer.media["version"] for answer in accepted)])
-        _check_resends(run, history, operators, round_, [task.value for task in tasks])
+        _check_retries(run, history, operators, round_, [task.value for task in tasks])
     final_read(run, history)
 
 
@@ -244,26 +244,26 @@
             control.replica.compact()
 
 
-def _check_resends(
+def _check_retries(
     run: Run,
     history: EditHistory,
     operators: list[SimulatedOperator],
     round_: int,
-    first: list,
+    first_answers: list,
 ) -> None:
     """Check that a retry of each edit gets the same response as its first attempt."""
     for number, operator in enumerate(operators):
         request = f"{round_}-{number}"
         text = f"{run.fleet.deployment.policy()}\n# race {request}\n"
-        again = operator.edit(history.document, text, 0, request, 40)
-        before = first[number]
-        if before.is_final and (again.status, again.media.get("version")) != (
-            before.status,
-            before.media.get("version"),
+        retried = operator.edit(history.document, text, 0, request, 40)
+        first_answer = first_answers[number]
+        if first_answer.is_final and (retried.status, retried.media.get("version")) != (
+            first_answer.status,
+            first_answer.media.get("version"),
         ):
             run.recorder.violate(
                 "operator-race",
-                f"{request} got status {before.status}, then {again.status} on its retry",
+                f"{request} got status {first_answer.status}, then {retried.status} on its retry",
             )
 
 
@@ -325,8 +325,8 @@
     leader: neither holds the edit.
     """
     leader = leader_number(run)
-    missing, wiped = (leader + 1) % 3, (leader + 2) % 3
-    cut_from_others(run, missing)
+    isolated, wiped = (leader + 1) % 3, (leader + 2) % 3
+    cut_from_others(run, isolated)
     history.edit(operator, policy_with_edit(run.fleet, 100), version, "left-out", 30)
     run.fleet.control_processes[leader].freeze(8.0)
     _power_cycle(run, wiped, wiped=True)
--- a/src/cranklane_lab/scenarios/edits.py
+++ b/src/cranklane_lab/scenarios/edits.py
@@ -99,19 +99,19 @@
     invocation = operation.invocation
     if isinstance(invocation, ReadInvocation):
         read: DocumentState = operation.response
-        same = read.text == state.text and _may_be(state, read.version)
+        same = read.text == state.text and _may_have_version(state, read.version)
         return [read] if same else []
     if operation.response is None:
         # The edit may have been accepted; its version is then unknown.
         edited = DocumentState(UNKNOWN_VERSION, invocation.text)
-        return [edited, state] if _may_be(state, invocation.base) else [state]
+        return [edited, state] if _may_have_version(state, invocation.base) else [state]
     accepted, version = operation.response
     if accepted:
-        follows = _may_be(state, invocation.base) and version > invocation.base
+        follows = _may_have_version(state, invocation.base) and version > invocation.base
         return [DocumentState(version, invocation.text)] if follows else []
-    conflicts = _may_be(state, version) and invocation.base != version
+    conflicts = _may_have_version(state, version) and invocation.base != version
     return [DocumentState(version, state.text)] if conflicts else []
 
 
-def _may_be(state: DocumentState, version: int) -> bool:
+def _may_have_version(state: DocumentState, version: int) -> bool:
     return state.version in (version, UNKNOWN_VERSION)
--- a/src/cranklane_lab/simulation/mesh.py
+++ b/src/cranklane_lab/simulation/mesh.py
@@ -264,13 +264,13 @@
     ) -> RawAnswer | None:
         """Send a route table to the leader, or to controller ``number``."""
         body = document if isinstance(document, bytes) else json.dumps(document).encode()
-        return self.ask_control("POST", body, number)
+        return self.send_to_controller("POST", body, number)
 
     def describe(self, number: int | None = None) -> RawAnswer | None:
         """Fetch the current route table."""
-        return self.ask_control("GET", b"", number)
+        return self.send_to_controller("GET", b"", number)
 
-    def ask_control(self, method: str, body: bytes, number: int | None) -> RawAnswer | None:
+    def send_to_controller(self, method: str, body: bytes, number: int | None) -> RawAnswer | None:
         """Send a request to a controller, following redirects to the leader."""
         process = self.world.process("operator", self.zones[0])
         machine = self.controllers[number] if number is not None else self.leader()
--- a/src/cranklane_lab/simulation/network.py
+++ b/src/cranklane_lab/simulation/network.py
@@ -74,7 +74,7 @@
         """Return the timeout in seconds; None for no timeout."""
         return self._timeout
 
-    def _check(self) -> None:
+    def _check_usable(self) -> None:
         if self.closed:
             raise OSError(errno.EBADF, "connection is closed locally")
         if self.broken is not None:
@@ -88,14 +88,14 @@
     def recv(self, size: int) -> bytes:
         """Return up to ``size`` bytes; ``b""`` at the end of the stream."""
         while not self.received:
-            self._check()
+            self._check_usable()
             if self.ended:
                 return b""
             self._wait(self._readable)
-        self._check()
+        self._check_usable()
         data = bytes(self.received[:size])
         del self.received[:size]
-        self._network.later(self, self.peer, self.peer.read_by_peer, len(data))
+        self._network.deliver_later(self, self.peer, self.peer.read_by_peer, len(data))
         return data
 
     def read_by_peer(self, size: int) -> None:
@@ -107,19 +107,19 @@
         """Send all bytes, waiting for room in the window."""
         view = memoryview(bytes(data))
         while view:
-            self._check()
+            self._check_usable()
             room = WINDOW_BYTES - self.unread
             if room <= 0:
                 self._wait(self._writable)
                 continue
             chunk, view = bytes(view[:room]), view[room:]
             self.unread += len(chunk)
-            self._network.later(self, self.peer, self.peer.arrive, chunk)
+            self._network.deliver_later(self, self.peer, self.peer.arrive, chunk)
 
     def arrive(self, data: bytes) -> None:
         """Handle bytes from the peer."""
         if self.closed:
-            self._network.later(self, self.peer, self.peer.reset)
+            self._network.deliver_later(self, self.peer, self.peer.reset)
             return
         self.received += data
         self._readable.set()
@@ -145,7 +145,7 @@
         self._readable.set()
         self._writable.set()
         if not self.owner.dead:
-            self._network.later(self, self.peer, self.peer.end)
+            self._network.deliver_later(self, self.peer, self.peer.end)
 
     def abandon(self) -> None:
         """Drop this end without notifying the peer."""
@@ -153,7 +153,7 @@
 
     def shutdown(self, _how: int) -> None:
         """Stop sending; the peer sees the end of the stream."""
-        self._network.later(self, self.peer, self.peer.end)
+        self._network.deliver_later(self, self.peer, self.peer.end)
 
     @property
     def hung_up(self) -> bool:
@@ -234,7 +234,7 @@
         """Return whether a link is cut."""
         return (source, target) in self._cut
 
-    def later(
+    def deliver_later(
         self,
         source: SimulatedConnection,
         target: SimulatedConnection,
@@ -245,13 +245,15 @@
         link = (source.owner.name, target.owner.name)
         if link in self._cut:
             blocked = self._blocked.setdefault(link, [])
-            blocked.append(lambda: self.later(source, target, action, *arguments))
+            blocked.append(lambda: self.deliver_later(source, target, action, *arguments))
             return
         delay = self._delay(source.owner, target.owner)
         delay *= 1 + JITTER_FRACTION * self._random.random()
         when = max(self._loop.now() + delay, target.last_arrival)
         target.last_arrival = when
-        self._at(when, target.owner, lambda: self._deliver(link, target, action, arguments))
+        self._schedule_at(
+            when, target.owner, lambda: self._deliver(link, target, action, arguments)
+        )
 
     def _deliver(
         self,
@@ -266,7 +268,7 @@
         )
         action(*arguments)
 
-    def _at(self, when: float, owner: NetworkProcess, action: Callable[[], None]) -> None:
+    def _schedule_at(self, when: float, owner: NetworkProcess, action: Callable[[], None]) -> None:
         timer = self._loop.timer(when - self._loop.now())
         timer.start(action)
         timer.owner = owner
@@ -327,9 +329,11 @@
         owner.connections[id(near)] = near
         target.connections[id(far)] = far
         far.last_arrival = self._loop.now() + delay
-        self._at(far.last_arrival, target, lambda: self._accept(target, far, near, handler))
+        self._schedule_at(
+            far.last_arrival, target, lambda: self._accept(target, far, near, handler)
+        )
         gevent.sleep(2 * delay)
-        near._check()
+        near._check_usable()
         return near
 
     @staticmethod
--- a/src/cranklane_lab/simulation/process.py
+++ b/src/cranklane_lab/simulation/process.py
@@ -136,7 +136,7 @@
         self._network.forget(self)
         for connection in list(self.connections.values()):
             if not power_lost:
-                self._network.later(connection, connection.peer, connection.peer.reset)
+                self._network.deliver_later(connection, connection.peer, connection.peer.reset)
             connection.abandon()
         self.connections.clear()
         if power_lost:
--- a/src/cranklane_lab/standins/routed_worker.py
+++ b/src/cranklane_lab/standins/routed_worker.py
@@ -147,8 +147,6 @@
         self._streams: set[Any] = set()
         self._listener = runtime.listen(address, self._accept)
 
-    # Registration.
-
     def beat(self) -> int:
         """Send one heartbeat; return the response's status, 0 without a response."""
         self._sequence += 1
@@ -192,8 +190,6 @@
         for stream in list(self._streams):
             stream.close()
 
-    # Requests.
-
     def _accept(self, stream: Any, _address: Address) -> None:
         self.state.connections += 1
         self._streams.add(stream)
--- a/src/cranklane_lab/trees/play.py
+++ b/src/cranklane_lab/trees/play.py
@@ -108,8 +108,6 @@
         gevent.sleep(SETTLE_SECONDS)
         self._began_at = self._world.loop.now()
 
-    # Workers.
-
     def _work(self, machine: MeshMachine, speed: float, run: RoutedRun) -> int:
         """Spend a run's work time, make its downstream calls and return the HTTP status."""
         kind = self._deployment.kinds[run.target.decode().split("/")[1]]
@@ -157,8 +155,6 @@
         machine.worker.state.work_time_factor = 1.0
         machine.worker.state.shed_fraction = 0.0
 
-    # Clients.
-
     def _traffic(self, kind: Kind) -> None:
         number = 0
         while True:
