--- a/src/cranklane_lab/cost/site.py
+++ b/src/cranklane_lab/cost/site.py
@@ -63,7 +63,7 @@
             heartbeat_seconds=0.5,
         )
         worker.state.work = lambda _run: 200
-        self._runtime.spawn(worker.beat_on)
+        self._runtime.spawn(worker.send_heartbeats)
         self._until(self._put_table)
         self._until(self._is_served)
 
--- a/src/cranklane_lab/simulation/mesh.py
+++ b/src/cranklane_lab/simulation/mesh.py
@@ -202,7 +202,7 @@
         worker_process = self.world.process(f"worker-{number}", zone, host)
         worker = self._worker(worker_process, service, f"i-{number}", slots)
         if beats:
-            worker_process.spawn(worker.beat_on)
+            worker_process.spawn(worker.send_heartbeats)
         machine = MeshMachine(name, service, zone, host, worker_process, worker, process, sidecar)
         self.machines.append(machine)
         return machine
@@ -225,7 +225,7 @@
         worker.state = former.state
         worker.state.running = 0
         machine.worker_process, machine.worker = process, worker
-        process.spawn(worker.beat_on)
+        process.spawn(worker.send_heartbeats)
 
     def start_sidecar(
         self,
--- a/src/cranklane_lab/soak/site.py
+++ b/src/cranklane_lab/soak/site.py
@@ -120,7 +120,7 @@
         worker.state.echoes = True
         worker.state.crash_mark = CRASH_MARK
         worker.state.on_crash = partial(self._crashed, number)
-        self._runtime.spawn(worker.beat_on)
+        self._runtime.spawn(worker.send_heartbeats)
         return worker
 
     def _crashed(self, number: int, run: RoutedRun) -> None:
--- a/src/cranklane_lab/standins/routed_worker.py
+++ b/src/cranklane_lab/standins/routed_worker.py
@@ -168,7 +168,7 @@
         """Deregister from the sidecar; return the response's status."""
         return self._post("deregister", b"")
 
-    def beat_on(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send heartbeats until the worker exits."""
         while not self.ended:
             self.beat()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -189,7 +189,7 @@
     def script(mesh):
         machine = mesh.add_machine("t", beats=False)
         gevent.sleep(phase)
-        machine.worker_process.spawn(machine.worker.beat_on)
+        machine.worker_process.spawn(machine.worker.send_heartbeats)
         gevent.sleep(3.0 - phase)
         suspend(machine)
         gevent.sleep(AWAY_SECONDS + 0.05)
