--- a/src/cranklane_lab/standins/routed_worker.py
+++ b/src/cranklane_lab/standins/routed_worker.py
@@ -147,7 +147,7 @@
         self._streams: set[Any] = set()
         self._listener = runtime.listen(address, self._accept)
 
-    def beat(self) -> int:
+    def send_heartbeat(self) -> int:
         """Send one heartbeat; return the response's status, 0 without a response."""
         self._sequence += 1
         body = {
@@ -162,7 +162,7 @@
     def drain(self) -> int:
         """Announce that it takes no new requests; return the response's status."""
         self.phase = "draining"
-        return self.beat()
+        return self.send_heartbeat()
 
     def deregister(self) -> int:
         """Deregister from the sidecar; return the response's status."""
@@ -171,7 +171,7 @@
     def send_heartbeats(self) -> None:
         """Send heartbeats until the worker exits."""
         while not self.ended:
-            self.beat()
+            self.send_heartbeat()
             gevent.sleep(self._heartbeat_seconds)
 
     def _post(self, call: str, body: bytes) -> int:
--- a/tests/test_mesh_workers.py
+++ b/tests/test_mesh_workers.py
@@ -26,7 +26,7 @@
         answers = [mesh.request(mesh.machines[2], "/sign/x", "POST", b"b") for _ in range(8)]
         late = leaving.worker
         late.phase, late._sequence = "ready", 0
-        late.beat()
+        late.send_heartbeat()
         answers += [mesh.request(mesh.machines[0], "/sign/x", "POST", b"b") for _ in range(8)]
         return leaving.worker.state.arrivals - before, {answer.status for answer in answers}
 
@@ -44,7 +44,7 @@
 
 def test_a_restarted_sidecar_serves_its_worker_before_the_next_heartbeat():
     def script(mesh):
-        mesh.machines[2].worker.beat = lambda: 0
+        mesh.machines[2].worker.send_heartbeat = lambda: 0
         machine = restart_sidecar(mesh, 2)
         gevent.sleep(0.3)
         served = mesh.request(machine, "/other/x").status
@@ -57,7 +57,7 @@
     def script(mesh):
         machine = mesh.machines[2]
         assert machine.worker.drain() == 200
-        machine.worker.beat = lambda: 0
+        machine.worker.send_heartbeat = lambda: 0
         machine = restart_sidecar(mesh, 2)
         gevent.sleep(1.0)
         return mesh.request(machine, "/other/x").status, len(machine.worker.state.runs)
@@ -72,7 +72,7 @@
         refused = mesh.request(mesh.machines[0], "/other/x").status
         machine.worker.instance = "i-new"
         machine.worker._sequence = 0
-        machine.worker.beat()
+        machine.worker.send_heartbeat()
         gevent.sleep(0.3)
         answer = mesh.request(mesh.machines[0], "/other/x")
         return refused, answer.status, runs(mesh)[-1].value(NAMES.instance)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -128,7 +128,7 @@
         for machine in mesh.machines[:2]:
             machine.worker.state.work = work if machine is top else None
         mesh.machines[1].worker.phase = "draining"
-        mesh.machines[1].worker.beat()
+        mesh.machines[1].worker.send_heartbeat()
         gevent.sleep(0.5)
         answer = ask(mesh, "key-of-clinic", name="root")
         return answer.status, mesh.machines[2].worker.state.runs[0].value(NAMES.tenant)
