--- a/src/cranklane_lab/simulation/crashes.py
+++ b/src/cranklane_lab/simulation/crashes.py
@@ -79,6 +79,6 @@
             machine.worker_process.kill()
             gevent.spawn_later(RESTART_DELAY_SECONDS, self._mesh.restart_worker, machine)
 
-    def ends_under(self, mark: bytes) -> list[Crash]:
+    def crashes_caused_by(self, mark: bytes) -> list[Crash]:
         """Return the crashes caused by requests whose target contains ``mark``."""
         return [crash for crash in self.crashes if mark in crash.target]
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -78,7 +78,7 @@
         callers = Callers(mesh)
         repeat(mesh)
         served = callers.join()
-        return len(crashing.ends_under(b"/crash")), served
+        return len(crashing.crashes_caused_by(b"/crash")), served
 
     ended, served = play(script, **FLEET)
     assert ended <= 3
@@ -232,7 +232,7 @@
         ]
         gevent.joinall(tasks)
         callers.join()
-        ends = [len(crashing.ends_under(b"/crash/%d" % number)) for number in range(4)]
+        ends = [len(crashing.crashes_caused_by(b"/crash/%d" % number)) for number in range(4)]
         return max(ends)
 
     assert play(script, services=("s",) * 12 + ("t",) * 2, slots=16) <= 3
--- a/tests/test_crashing_requests_seeds.py
+++ b/tests/test_crashing_requests_seeds.py
@@ -82,7 +82,7 @@
         served = callers.join()
         ends, late = [], []
         for path in paths:
-            moments = [crash.at for crash in crashing.ends_under(path.encode())]
+            moments = [crash.at for crash in crashing.crashes_caused_by(path.encode())]
             ends.append(len(moments))
             known = moments[2] + KNOWN_SECONDS if len(moments) > 2 else float("inf")
             runs = crashing.runs_of(path.encode())
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -45,7 +45,7 @@
     crashing = CrashingRequests(mesh)
     tasks = [gevent.spawn(repeat, mesh, f"/read/crash/{n}", 12, 0.9) for n in range(4)]
     gevent.joinall(tasks)
-    return max(len(crashing.ends_under(b"/crash/%d" % n)) for n in range(4))
+    return max(len(crashing.crashes_caused_by(b"/crash/%d" % n)) for n in range(4))
 
 
 MANY = {"services": ("s",) * 12 + ("t",) * 2, "slots": 16}
