--- a/src/cranklane_lab/simulation/crashes.py
+++ b/src/cranklane_lab/simulation/crashes.py
@@ -51,7 +51,7 @@
         for machine in machines:
             self._pending_crashes.put((machine, b"", machine.worker.state.running))
 
-    def mend(self) -> None:
+    def stop_crashing(self) -> None:
         """Stop marked requests from crashing workers."""
         for machine in self._mesh.machines:
             machine.worker.state.crash_mark = b""
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -258,7 +258,7 @@
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
         assert mesh.wait_for(lambda: len(crashing.crashes) == 2, 2.0)
-        crashing.mend()
+        crashing.stop_crashing()
         gevent.sleep(6.0)
         first = mesh.request(mesh.machines[6], CRASH).status
         gevent.sleep(0.1)
--- a/tests/test_quarantine_operators.py
+++ b/tests/test_quarantine_operators.py
@@ -81,7 +81,7 @@
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
         assert mesh.wait_for(lambda: len(crashing.crashes) == 2, 2.0)
-        crashing.mend()
+        crashing.stop_crashing()
         gevent.sleep(4.0)
         for machine in mesh.machines:
             machine.sidecar.settings.operator_digest = secret_digest(TOKEN.encode())
