--- a/src/cranklane_lab/simulation/mesh.py
+++ b/src/cranklane_lab/simulation/mesh.py
@@ -259,7 +259,7 @@
         """Return a new client process on a machine."""
         return self.world.process(name, self.zones[0], host)
 
-    def operate(
+    def apply_route_table(
         self, document: dict[str, Any] | bytes, number: int | None = None
     ) -> RawAnswer | None:
         """Send a route table to the leader, or to controller ``number``."""
--- a/src/cranklane_lab/trees/play.py
+++ b/src/cranklane_lab/trees/play.py
@@ -104,7 +104,7 @@
         }
         names = tuple(service.name for service in deployment.services)
         table = route_table(1, 0, routes, names)
-        assert mesh.wait_for(lambda: mesh.operate(table).status == _OK, 5)  # type: ignore[union-attr]
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == _OK, 5)  # type: ignore[union-attr]
         gevent.sleep(SETTLE_SECONDS)
         self._began_at = self._world.loop.now()
 
--- a/tests/mesh_support.py
+++ b/tests/mesh_support.py
@@ -25,7 +25,7 @@
         mesh.add_machine(service, slots)
     assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
     first = route_table(1, 0, routes, ("s", "t"))
-    assert mesh.wait_for(lambda: mesh.operate(first).status == 200, 5)
+    assert mesh.wait_for(lambda: mesh.apply_route_table(first).status == 200, 5)
     gevent.sleep(2.0)
     return mesh
 
--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -43,7 +43,7 @@
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         routes = {name: {**route, "objective_ms": objective_ms} for name, route in ROUTES.items()}
         table = route_table(1, 0, routes, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         top.worker.state.seconds = ROOT_SECONDS
         deep.worker.state.seconds = DEEP_SECONDS
@@ -128,7 +128,7 @@
         deep = mesh.add_machine("deep", deep_slots)
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         table = route_table(1, 0, ROUTES, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         top.worker.state.seconds = 0.05
         top.worker.state.status = 500
@@ -168,7 +168,7 @@
         deep = [mesh.add_machine("deep") for _ in range(2)]
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         table = route_table(1, 0, ROUTES, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         first.worker.state.fail = int(run_is_repeated)
         second.worker.state.seconds = 1.0
@@ -198,7 +198,7 @@
         mesh.add_machine("deep", 0)
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         table = route_table(1, 0, ROUTES, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         for top in tops:
             top.worker.state.seconds = 1.0
@@ -236,7 +236,7 @@
         }
         look = {**ROUTES["look"], "objective_ms": 300}
         table = route_table(1, 0, {**ROUTES, "view": view, "look": look}, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         top.worker.state.seconds = ROOT_SECONDS
         deep.worker.state.seconds = WAITED_SECONDS
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -36,7 +36,7 @@
 def put(mesh, version, base):
     """Send a table until it gets a clear answer; return its status."""
     for _ in range(60):
-        answer = mesh.operate(table(version, base))
+        answer = mesh.apply_route_table(table(version, base))
         if answer is not None and answer.status < 500:
             return answer.status
         gevent.sleep(0.2)
@@ -76,7 +76,7 @@
         statuses = []
 
         def send(version):
-            statuses.append(mesh.operate(table(version, 1)).status)
+            statuses.append(mesh.apply_route_table(table(version, 1)).status)
 
         gevent.joinall([gevent.spawn(send, version) for version in (2, 3)])
         return sorted(statuses)
@@ -104,8 +104,8 @@
 def test_an_invalid_table_changes_nothing(change):
     def script(mesh):
         assert put(mesh, 1, 0) == 200
-        status = mesh.operate(table(2, 1, change["routes"])).status
-        cut_short = mesh.operate(json.dumps(table(2, 1)).encode()[:-9]).status
+        status = mesh.apply_route_table(table(2, 1, change["routes"])).status
+        cut_short = mesh.apply_route_table(json.dumps(table(2, 1)).encode()[:-9]).status
         return status, cut_short, version_read(mesh)
 
     assert play(script) == (400, 400, 1)
@@ -115,7 +115,7 @@
     def script(mesh):
         leader = mesh.leader().number
         other = (leader + 1) % 5
-        return mesh.operate(table(1, 0), other).status, mesh.describe(other).status
+        return mesh.apply_route_table(table(1, 0), other).status, mesh.describe(other).status
 
     assert play(script) == (200, 200)
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -40,7 +40,7 @@
         entry = mesh.add_machine("other")
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         table = route_table(1, 0, ROUTES, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         top.worker.state.seconds = RUN_SECONDS
         top.worker.state.status = 500 if fails else 200
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -274,7 +274,7 @@
     def script(mesh):
         split = [{"service": "s", "weight": 90}, {"service": "t", "weight": 10}]
         routes = {**ROUTES, "split": {"prefix": "/split/", "split": split}}
-        assert mesh.operate(route_table(5, 1, routes, ("s", "t"))).status == 200
+        assert mesh.apply_route_table(route_table(5, 1, routes, ("s", "t"))).status == 200
         gevent.sleep(1.0)
         for number in range(200):
             mesh.request(mesh.machines[number % 3], "/split/x")
@@ -301,7 +301,7 @@
 def test_the_longest_prefix_goes_first():
     def script(mesh):
         routes = {**ROUTES, "deep": {"prefix": "/other/deep/", "service": "s"}}
-        assert mesh.operate(route_table(5, 1, routes, ("s", "t"))).status == 200
+        assert mesh.apply_route_table(route_table(5, 1, routes, ("s", "t"))).status == 200
         gevent.sleep(1.0)
         for path in ("/other/deep/x/y", "/other/deepx", "/other/deep"):
             mesh.request(mesh.machines[2], path)
--- a/tests/test_mesh_overload.py
+++ b/tests/test_mesh_overload.py
@@ -57,7 +57,7 @@
 def test_requests_whose_runs_fail_are_refused_early_the_least_important_first():
     def script(mesh):
         routes = {**ROUTES, "least": {"prefix": "/least/", "service": "t", "priority": 2}}
-        assert mesh.operate(route_table(5, 1, routes, ("s", "t"))).status == 200
+        assert mesh.apply_route_table(route_table(5, 1, routes, ("s", "t"))).status == 200
         gevent.sleep(1.0)
         mesh.machines[2].worker.state.status = 500
         mesh.machines[2].worker.state.seconds = 0.0
--- a/tests/test_publisher_frames.py
+++ b/tests/test_publisher_frames.py
@@ -32,7 +32,7 @@
     def script(mesh):
         calls.clear()
         changed = {**ROUTES, "more": {"prefix": "/more/", "service": "t"}}
-        assert mesh.operate(route_table(5, 1, changed, ("s", "t"))).status == 200
+        assert mesh.apply_route_table(route_table(5, 1, changed, ("s", "t"))).status == 200
         gevent.sleep(1.0)
         return {machine.sidecar.adopted.table.version for machine in mesh.machines}
 
--- a/tests/test_route_rows.py
+++ b/tests/test_route_rows.py
@@ -87,11 +87,11 @@
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         routes = {f"r{number}": {"prefix": f"/{number}/", "service": "s"} for number in range(800)}
         first = route_table(1, 0, routes, SERVICES)
-        assert mesh.wait_for(lambda: mesh.operate(first).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(first).status == 200, 5)
         gevent.sleep(2.0)
         before = machine.sidecar.control.subscription.bytes_received
         routes["r7"]["timeout_ms"] = 77
-        assert mesh.operate(route_table(2, 1, routes, SERVICES)).status == 200
+        assert mesh.apply_route_table(route_table(2, 1, routes, SERVICES)).status == 200
         gevent.sleep(0.3)
         table = machine.sidecar.adopted.table
         assert (table.version, table.find("shop.example", "/7/x").timeout_ms) == (2, 77)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -57,7 +57,9 @@
         for service in services:
             mesh.add_machine(service)
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
-        assert mesh.wait_for(lambda: mesh.operate(table(tenants=tenants)).status == 200, 5)
+        assert mesh.wait_for(
+            lambda: mesh.apply_route_table(table(tenants=tenants)).status == 200, 5
+        )
         gevent.sleep(2.0)
         result = script(mesh)
         assert not world.loop.task_errors
@@ -223,7 +225,7 @@
 
 def take_shop_away(mesh):
     without = {name: value for name, value in TENANTS.items() if name != "shop"}
-    assert mesh.wait_for(lambda: mesh.operate(table(2, 1, without)).status == 200, 5)
+    assert mesh.wait_for(lambda: mesh.apply_route_table(table(2, 1, without)).status == 200, 5)
 
 
 def cut_off(mesh, machine):
@@ -282,7 +284,7 @@
 
         def acknowledged():
             answers = [
-                mesh.operate(table(2, 1, without), number)
+                mesh.apply_route_table(table(2, 1, without), number)
                 for number, item in enumerate(mesh.controllers)
                 if item.process.name != leader
             ]
