--- a/src/cranklane_lab/simulation/mesh.py
+++ b/src/cranklane_lab/simulation/mesh.py
@@ -306,7 +306,7 @@
         }
         return exchange(process, machine.callers, method, path, all_headers, body)
 
-    def run_of(self, name: str) -> list[str]:
+    def instances_that_ran(self, name: str) -> list[str]:
         """Return the instances of the workers that ran a request."""
         return [
             machine.worker.instance
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -248,7 +248,12 @@
         answer = mesh.request(mesh.machines[6], CRASH, name="refused")
         seconds = mesh.world.loop.now() - begun
         after = float(answer.headers["retry-after"])
-        return answer.status, 4.0 < after <= 5.0, seconds < 0.005, mesh.run_of("refused")
+        return (
+            answer.status,
+            4.0 < after <= 5.0,
+            seconds < 0.005,
+            mesh.instances_that_ran("refused"),
+        )
 
     assert play(script, **FLEET) == (503, True, True, [])
 
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -158,7 +158,7 @@
         answers = [
             mesh.request(mesh.machines[2], "/sign/x", "POST", b"b", name=f"r{n}") for n in range(4)
         ]
-        times = [len(mesh.run_of(f"r{n}")) for n in range(4)]
+        times = [len(mesh.instances_that_ran(f"r{n}")) for n in range(4)]
         return {answer.status for answer in answers}, times
 
     assert play(script) == ({502}, [1, 1, 1, 1])
@@ -263,7 +263,7 @@
             asking.append(gevent.spawn(ask, f"sent-{number}"))
             gevent.sleep(0.1)
         gevent.joinall(asking)
-        ran = {name for name in answers if mesh.run_of(name)}
+        ran = {name for name in answers if mesh.instances_that_ran(name)}
         cut = sorted(name for name in ran if answers[name] is None)
         return len(ran) > 10, cut
 
