--- a/src/cranklane_lab/simulation/mesh.py
+++ b/src/cranklane_lab/simulation/mesh.py
@@ -266,7 +266,7 @@
         body = document if isinstance(document, bytes) else json.dumps(document).encode()
         return self.send_to_controller("POST", body, number)
 
-    def describe(self, number: int | None = None) -> RawAnswer | None:
+    def read_route_table(self, number: int | None = None) -> RawAnswer | None:
         """Fetch the current route table."""
         return self.send_to_controller("GET", b"", number)
 
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -45,11 +45,11 @@
 
 def version_read(mesh, seconds=20):
     def read():
-        answer = mesh.describe()
+        answer = mesh.read_route_table()
         return answer is not None and answer.status == 200
 
     assert mesh.wait_for(read, seconds)
-    return json.loads(mesh.describe().body)["version"]
+    return json.loads(mesh.read_route_table().body)["version"]
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
@@ -115,7 +115,9 @@
     def script(mesh):
         leader = mesh.leader().number
         other = (leader + 1) % 5
-        return mesh.apply_route_table(table(1, 0), other).status, mesh.describe(other).status
+        return mesh.apply_route_table(table(1, 0), other).status, mesh.read_route_table(
+            other
+        ).status
 
     assert play(script) == (200, 200)
 
