--- a/src/cranklane_lab/simulation/crashes.py
+++ b/src/cranklane_lab/simulation/crashes.py
@@ -21,7 +21,7 @@
 
     :ivar at: virtual second of the crash.
     :ivar target: target of the request that caused it; empty for a crash without one.
-    :ivar in_flight: requests in flight on the worker at the crash.
+    :ivar in_flight: requests in flight on the worker, without the one that crashed it.
     """
 
     at: float
--- a/src/cranklane_lab/simulation/fleet.py
+++ b/src/cranklane_lab/simulation/fleet.py
@@ -247,7 +247,7 @@
         return SimulatedOperator(process, addresses)
 
     def apply(self, name: str, text: str, base: int, request: str) -> OperatorAnswer:
-        """Edit a policy document and return control's answer.
+        """Edit a policy document and return the response.
 
         :param base: version that the edit is based on.
         :param request: request id.
--- a/src/cranklane_lab/simulation/process.py
+++ b/src/cranklane_lab/simulation/process.py
@@ -141,8 +141,8 @@
         self.connections.clear()
         if power_lost:
             self.disk.lose_power()
-        # Stops the tasks, so that none of them uses the disk or the network of a dead
-        # machine.
+        # Kills the tasks after the connections are abandoned: their clean-up must not use
+        # the disk or the network of a dead machine.
         for task in list(self.tasks.values()):
             task.kill(block=False)
         gevent.sleep(0)
