--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Simulated processes write no log lines during tests; tests that are known red may fail."""
+"""Suppresses logs of simulated processes and registers the hooks for known-red tests."""
 
 import pytest
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,8 +1,8 @@
-"""Tests that fail for a known fault, as ``KNOWN-RED.txt`` at the root lists them.
+"""Pytest hooks that tolerate failures of the tests listed in ``KNOWN-RED.txt``.
 
-A line names a test, the cause and the issue, separated by ``|``. Such a test is run like all
-others and may fail, and it is printed. The run fails when a listed test passes, or when the
-list names none, so that the list stays true.
+Each line of the file holds a test ID, the cause and the issue, separated by ``|``. Listed tests
+run, may fail, and are printed. A listed test that passes or does not exist fails the run, which
+keeps the list up to date.
 """
 
 from __future__ import annotations
@@ -13,73 +13,78 @@
 import pytest
 
 FILE_NAME = "KNOWN-RED.txt"
-MOST_LINES = 3
-"""More faults at a time would not be known, but got used to."""
+MAX_ENTRIES = 3
+"""Limit on tolerated failures, which keeps known faults from piling up."""
 
 
 @dataclass(frozen=True)
 class KnownRed:
-    """One line of the list."""
+    """An entry of the list."""
 
     test: str
     cause: str
     issue: str
 
 
-def parse(text: str) -> list[KnownRed]:
-    """Return the lines of a list.
+def parse_list(text: str) -> list[KnownRed]:
+    """Parse the text of a known-red list.
 
-    :raises ValueError: when a line is no such line, or there are too many.
+    :raises ValueError: if a line is malformed or there are more than ``MAX_ENTRIES``.
 
-    >>> parse("tests/test_a.py::test_b | the clock stands still | 30")
+    >>> parse_list("tests/test_a.py::test_b | the clock stands still | 30")
     [KnownRed(test='tests/test_a.py::test_b', cause='the clock stands still', issue='30')]
     """
-    listed = []
+    entries = []
     for line in filter(str.strip, text.splitlines()):
-        parts = [part.strip() for part in line.split("|")]
-        if len(parts) != 3 or not all(parts):
-            raise ValueError(f"{FILE_NAME}: not 'test | cause | issue': {line!r}")
-        listed.append(KnownRed(*parts))
-    if len(listed) > MOST_LINES:
-        raise ValueError(f"{FILE_NAME}: {len(listed)} lines, at most {MOST_LINES} are allowed")
-    return listed
-
-
-def read(root: Path) -> list[KnownRed]:
-    """Return the list at a root; nothing where there is no file."""
+        fields = [field.strip() for field in line.split("|")]
+        if len(fields) != 3 or not all(fields):
+            raise ValueError(f"{FILE_NAME}: expected 'test | cause | issue', found {line!r}")
+        entries.append(KnownRed(*fields))
+    if len(entries) > MAX_ENTRIES:
+        raise ValueError(
+            f"{FILE_NAME}: found {len(entries)} entries, expected at most {MAX_ENTRIES} entries"
+        )
+    return entries
+
+
+def read_list(root: Path) -> list[KnownRed]:
+    """Read the list in the root folder; a missing file is an empty list."""
     path = root / FILE_NAME
-    return parse(path.read_text()) if path.exists() else []
+    return parse_list(path.read_text()) if path.exists() else []
 
 
 class MissingTest(pytest.Item):
-    """Stands for a listed test that does not exist, and fails."""
+    """Failing placeholder for a listed test that does not exist."""
 
     def runtest(self) -> None:
-        """Fail."""
+        """Fail with the name of the missing test."""
         pytest.fail(f"{FILE_NAME} lists {self.name}, and there is no such test", pytrace=False)
 
 
 def pytest_collection_modifyitems(
     session: pytest.Session, config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Let listed tests fail, and only fail; a run of whole files must find each of them."""
-    listed = {known.test: known for known in read(config.rootpath)}
+    """Mark listed tests as strict expected failures and report listed tests that do not exist.
+
+    Existence is checked only if the run collects the whole suite.
+    """
+    entries = {entry.test: entry for entry in read_list(config.rootpath)}
     for item in items:
-        known = listed.pop(item.nodeid, None)
-        if known is not None:
-            reason = f"known red, issue {known.issue}: {known.cause}"
+        entry = entries.pop(item.nodeid, None)
+        if entry is not None:
+            reason = f"known red, issue {entry.issue}: {entry.cause}"
             item.add_marker(pytest.mark.xfail(reason=reason, strict=True))
-    whole_run = config.args_source is pytest.Config.ArgsSource.TESTPATHS
-    if whole_run and not config.option.keyword:
-        items.extend(MissingTest.from_parent(session, name=test) for test in listed)
+    full_run = config.args_source is pytest.Config.ArgsSource.TESTPATHS
+    if full_run and not config.option.keyword:
+        items.extend(MissingTest.from_parent(session, name=test) for test in entries)
 
 
 def pytest_terminal_summary(
     terminalreporter: pytest.TerminalReporter, config: pytest.Config
 ) -> None:
-    """Print the list."""
-    listed = read(config.rootpath)
-    if listed:
+    """Print the listed tests with cause and issue."""
+    entries = read_list(config.rootpath)
+    if entries:
         terminalreporter.section(f"known red ({FILE_NAME})")
-    for known in listed:
-        terminalreporter.write_line(f"{known.test}: {known.cause} (issue {known.issue})")
+    for entry in entries:
+        terminalreporter.write_line(f"{entry.test}: {entry.cause} (issue {entry.issue})")
--- a/tests/mesh_support.py
+++ b/tests/mesh_support.py
@@ -1,4 +1,4 @@
-"""A mesh of sidecars and controllers to try requests on, shared by test modules."""
+"""Simulated mesh of controllers, sidecars and workers, shared by test modules."""
 
 from __future__ import annotations
 
@@ -15,24 +15,31 @@
 
 
 def delay(_source, _target):
+    """Return the network delay between two hosts, in seconds."""
     return 0.0005
 
 
-def start(world, services=("s", "s", "t"), routes=ROUTES, slots=4):
+def start_mesh(world, services=("s", "s", "t"), routes=ROUTES, slots=4):
+    """Return a mesh of three controllers and one machine per service, with a route table."""
     mesh = Mesh(world)
     mesh.start_controllers(3)
     for service in services:
         mesh.add_machine(service, slots)
     assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
-    first = route_table(1, 0, routes, ("s", "t"))
-    assert mesh.wait_for(lambda: mesh.operate(first).status == 200, 5)
+    initial_table = route_table(1, 0, routes, ("s", "t"))
+    assert mesh.wait_for(lambda: mesh.operate(initial_table).status == 200, 5)
     gevent.sleep(2.0)
     return mesh
 
 
 def play(script, seed=1, **options):
+    """Return the result of ``script(mesh)`` on a new mesh; fail if a task of it raised.
+
+    :param options: arguments of ``start_mesh``.
+    """
+
     def scenario(world):
-        result = script(start(world, **options))
+        result = script(start_mesh(world, **options))
         assert not world.loop.task_errors
         return result
 
@@ -40,10 +47,12 @@
 
 
 def runs(mesh):
+    """Return the runs of all workers, grouped by machine."""
     return [run for machine in mesh.machines for run in machine.worker.state.runs]
 
 
-def each_worker(mesh, **faults):
+def each_worker(mesh, **attributes):
+    """Set attributes of the state of every worker, such as faults and the service time."""
     for machine in mesh.machines:
-        for name, value in faults.items():
+        for name, value in attributes.items():
             setattr(machine.worker.state, name, value)
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""Requests through sidecars, from what callers and workers see."""
+"""Requests and responses through sidecars, as seen by callers and workers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert 4000 < int(run.value(NAMES.deadline)) <= 5000
 
 
-def test_what_a_caller_says_of_its_own_service_is_replaced():
+def test_forged_identity_headers_of_a_caller_are_replaced():
     def script(mesh):
         forged = {NAMES.caller.decode(): "t", NAMES.instance.decode(): "i-9"}
         mesh.request(mesh.machines[0], "/other/x", headers=forged)
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("length", [5, 70_000, 400_000])
-def test_bodies_of_all_sizes_travel_whole_both_ways(length):
+def test_request_and_answer_bodies_of_all_sizes_arrive_intact(length):
     def script(mesh):
         body = bytes(range(256)) * (length // 256 + 1)
         body = body[:length]
@@ -53,7 +53,7 @@
     assert play(script) == (True, True, True)
 
 
-def test_a_chunked_body_arrives_whole():
+def test_a_chunked_request_body_arrives_intact():
     def script(mesh):
         process = mesh.client_process("client", mesh.machines[2].host)
         connection = RawConnection(process, mesh.machines[2].callers)
@@ -68,7 +68,7 @@
     assert play(script) == (200, b"abcde")
 
 
-def test_a_kept_connection_serves_many_requests_in_order():
+def test_pipelined_requests_are_answered_in_order():
     def script(mesh):
         process = mesh.client_process("client", mesh.machines[0].host)
         connection = RawConnection(process, mesh.machines[0].callers)
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize(
-    ("sent", "status"),
+    ("raw_request", "status"),
     [
         (b"GET /nowhere/ HTTP/1.1\r\nHost: shop.example\r\n\r\n", 404),
         (b"GET /read/x HTTP/1.1\r\nHost: elsewhere\r\n\r\n", 404),
@@ -103,28 +103,28 @@
         ),
     ],
 )
-def test_requests_that_cannot_be_served_get_a_final_answer_and_run_nowhere(sent, status):
+def test_invalid_requests_get_a_final_answer_and_reach_no_worker(raw_request, status):
     def script(mesh):
         process = mesh.client_process("client", mesh.machines[0].host)
         connection = RawConnection(process, mesh.machines[0].callers)
-        connection.send(sent)
+        connection.send(raw_request)
         return connection.answer().status, len(runs(mesh))
 
     assert play(script) == (status, 0)
 
 
-def test_a_head_that_does_not_end_is_answered_408():
+def test_an_incomplete_request_head_times_out_with_408():
     def script(mesh):
         process = mesh.client_process("client", mesh.machines[0].host)
         connection = RawConnection(process, mesh.machines[0].callers)
         connection.send(b"GET /read/x HTT")
-        begun = mesh.world.loop.now()
-        return connection.answer().status, round(mesh.world.loop.now() - begun)
+        started_at = mesh.world.loop.now()
+        return connection.answer().status, round(mesh.world.loop.now() - started_at)
 
     assert play(script) == (408, 3)
 
 
-def test_without_a_route_table_the_answer_is_503_and_the_node_is_not_ready():
+def test_a_sidecar_without_a_route_table_answers_503_and_is_not_ready():
     def scenario(world):
         mesh = Mesh(world)
         mesh.start_controllers(3)
@@ -138,7 +138,7 @@
 @pytest.mark.parametrize(
     "fault", ["lose_answers", "cut_answers", "garbage_answers", "unmarked_answers"]
 )
-def test_a_repeatable_request_survives_a_spoiled_answer(fault):
+def test_a_repeatable_request_is_retried_after_a_lost_or_invalid_answer(fault):
     def script(mesh):
         for machine in mesh.machines[:2]:
             setattr(machine.worker.state, fault, 1)
@@ -152,14 +152,14 @@
 @pytest.mark.parametrize(
     "fault", ["lose_answers", "cut_answers", "garbage_answers", "unmarked_answers"]
 )
-def test_an_unrepeatable_request_is_never_sent_twice_nor_called_not_run(fault):
+def test_an_unsafe_request_gets_502_and_no_retry_after_a_lost_or_invalid_answer(fault):
     def script(mesh):
         each_worker(mesh, **{fault: 5})
         answers = [
             mesh.request(mesh.machines[2], "/sign/x", "POST", b"b", name=f"r{n}") for n in range(4)
         ]
-        times = [len(mesh.run_of(f"r{n}")) for n in range(4)]
-        return {answer.status for answer in answers}, times
+        run_counts = [len(mesh.run_of(f"r{n}")) for n in range(4)]
+        return {answer.status for answer in answers}, run_counts
 
     assert play(script) == ({502}, [1, 1, 1, 1])
 
@@ -173,7 +173,7 @@
     assert play(script) == {(200, b"answer")}
 
 
-def test_an_answer_without_length_is_passed_on_with_one():
+def test_an_answer_without_content_length_is_forwarded_with_one():
     def script(mesh):
         each_worker(mesh, unframed_answers=1)
         answer = mesh.request(mesh.machines[2], "/read/x")
@@ -182,7 +182,7 @@
     assert play(script) == (b"answer", "6")
 
 
-def test_a_large_answer_that_is_cut_does_not_look_whole():
+def test_a_truncated_large_answer_does_not_appear_complete():
     def script(mesh):
         each_worker(mesh, body=b"z" * 300_000, cut_answers=3)
         answer = mesh.request(mesh.machines[2], "/read/x")
@@ -191,7 +191,7 @@
     assert play(script) is False
 
 
-def test_a_caller_that_leaves_ends_the_work_within_half_a_second():
+def test_a_caller_disconnect_cancels_the_run_within_half_a_second():
     def script(mesh):
         each_worker(mesh, seconds=4.0)
         process = mesh.client_process("client", mesh.machines[2].host)
@@ -206,71 +206,73 @@
     assert play(script) == [True]
 
 
-def test_a_route_s_time_limit_ends_with_a_final_answer():
+def test_a_route_timeout_is_answered_504():
     def script(mesh):
         each_worker(mesh, seconds=9.0)
-        begun = mesh.world.loop.now()
+        started_at = mesh.world.loop.now()
         answer = mesh.request(mesh.machines[0], "/other/x")
-        return answer.status, round(mesh.world.loop.now() - begun, 1)
+        return answer.status, round(mesh.world.loop.now() - started_at, 1)
 
     assert play(script) == (504, 0.7)
 
 
-def test_a_planned_stop_cuts_nothing_and_is_out_of_use_at_once():
+def test_a_drain_completes_requests_in_flight_and_ends_readiness_at_once():
     def script(mesh):
         each_worker(mesh, seconds=3.0)
         statuses = []
 
-        def ask(machine):
+        def send_request(machine):
             answer = mesh.request(machine, "/read/x")
             statuses.append(answer.status if answer is not None else 0)
 
-        def stop():
-            finished = mesh.machines[0].sidecar.stop()
+        def drain():
+            drained = mesh.machines[0].sidecar.stop()
             gevent.spawn(mesh.machines[0].process.kill)
-            return finished
+            return drained
 
-        asking = [gevent.spawn(ask, machine) for machine in mesh.machines for _ in range(2)]
+        requests = [
+            gevent.spawn(send_request, machine) for machine in mesh.machines for _ in range(2)
+        ]
         gevent.sleep(0.3)
-        stopping = mesh.machines[0].process.spawn(stop)
+        drain_task = mesh.machines[0].process.spawn(drain)
         gevent.sleep(0.1)
         ready = mesh.machines[0].sidecar.is_ready()
-        asking += [gevent.spawn(ask, mesh.machines[0]) for _ in range(2)]
-        gevent.joinall(asking)
-        return ready, stopping.get(), set(statuses)
+        requests += [gevent.spawn(send_request, mesh.machines[0]) for _ in range(2)]
+        gevent.joinall(requests)
+        return ready, drain_task.get(), set(statuses)
 
     assert play(script, slots=8) == (False, True, {200})
 
 
-def test_a_planned_stop_cuts_nothing_though_callers_go_on_sending():
-    """As where most machines of a zone stop at once, and callers have nowhere else to go."""
+def test_a_drain_completes_started_requests_while_callers_keep_sending():
+    """Guards against lost requests while most machines of a zone drain at once."""
 
     def script(mesh):
         each_worker(mesh, seconds=0.9)
         machine = mesh.machines[0]
         answers = {}
 
-        def ask(name):
+        def send_request(name):
             answers[name] = mesh.request(machine, "/read/x", name=name)
 
-        def stop():
+        def drain():
             machine.sidecar.stop()
             gevent.spawn(machine.process.kill)
 
-        machine.process.spawn(stop)
-        asking = []
+        machine.process.spawn(drain)
+        requests = []
         for number in range(70):
-            asking.append(gevent.spawn(ask, f"sent-{number}"))
+            requests.append(gevent.spawn(send_request, f"sent-{number}"))
             gevent.sleep(0.1)
-        gevent.joinall(asking)
-        ran = {name for name in answers if mesh.run_of(name)}
-        cut = sorted(name for name in ran if answers[name] is None)
-        return len(ran) > 10, cut
+        gevent.joinall(requests)
+        started = {name for name in answers if mesh.run_of(name)}
+        unanswered = sorted(name for name in started if answers[name] is None)
+        return len(started) > 10, unanswered
 
     assert play(script, slots=16) == (True, [])
 
 
-def test_a_split_keeps_its_shares():
+def test_a_split_route_distributes_requests_by_weight():
     def script(mesh):
         split = [{"service": "s", "weight": 90}, {"service": "t", "weight": 10}]
         routes = {**ROUTES, "split": {"prefix": "/split/", "split": split}}
@@ -283,7 +285,7 @@
     assert 17 <= play(script) <= 23
 
 
-def test_an_answer_goes_no_further_than_its_route_s_time():
+def test_an_answer_still_in_transfer_at_the_route_timeout_is_cut_off():
     def script(mesh):
         machine = mesh.machines[2]
         process = mesh.client_process("client", machine.host)
@@ -298,7 +300,7 @@
     assert play(script) == (False, True)
 
 
-def test_the_longest_prefix_goes_first():
+def test_the_route_with_the_longest_matching_prefix_is_chosen():
     def script(mesh):
         routes = {**ROUTES, "deep": {"prefix": "/other/deep/", "service": "s"}}
         assert mesh.operate(route_table(5, 1, routes, ("s", "t"))).status == 200
@@ -307,18 +309,18 @@
             mesh.request(mesh.machines[2], path)
         return [len(machine.worker.state.runs) for machine in mesh.machines]
 
-    ran = play(script)
-    assert (ran[0] + ran[1], ran[2]) == (1, 2)
+    run_counts = play(script)
+    assert (run_counts[0] + run_counts[1], run_counts[2]) == (1, 2)
 
 
-def test_counters_and_readiness_are_served_at_their_addresses():
+def test_metrics_and_readiness_are_served_at_their_addresses():
     def script(mesh):
         machine = mesh.machines[0]
         mesh.request(machine, "/read/x")
         process = mesh.client_process("scraper", machine.host)
-        ready = exchange(process, machine.readiness, "GET", "/v1/ready", {})
-        text = exchange(process, (machine.host, 8003), "GET", "/metrics", {}).body.decode()
-        other = exchange(process, (machine.host, 8003), "GET", "/elsewhere", {}).status
-        return ready.status, "cranklane_requests_total{" in text, other
+        readiness = exchange(process, machine.readiness, "GET", "/v1/ready", {})
+        metrics = exchange(process, (machine.host, 8003), "GET", "/metrics", {}).body.decode()
+        unknown_path = exchange(process, (machine.host, 8003), "GET", "/elsewhere", {}).status
+        return readiness.status, "cranklane_requests_total{" in metrics, unknown_path
 
     assert play(script) == (200, True, 404)
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -88,8 +88,10 @@
         Dispatcher,
         "_should_retry",
         retries_after_unknown,
-        lambda: test_mesh.test_an_unrepeatable_request_is_never_sent_twice_nor_called_not_run(
-            "lose_answers"
+        lambda: (
+            test_mesh.test_an_unsafe_request_gets_502_and_no_retry_after_a_lost_or_invalid_answer(
+                "lose_answers"
+            )
         ),
     ),
     "drain fence": (
@@ -102,13 +104,13 @@
         RetryBudget,
         "take",
         lambda self, service: True,
-        test_mesh_overload.test_requests_sent_to_a_second_worker_stay_within_the_budget,
+        test_mesh_overload.test_retries_after_refusals_stay_within_the_budget,
     ),
     "disconnect watch": (
         DisconnectWatch,
         "add",
         lambda self, connection, action: None,
-        test_mesh.test_a_caller_that_leaves_ends_the_work_within_half_a_second,
+        test_mesh.test_a_caller_disconnect_cancels_the_run_within_half_a_second,
     ),
     "outcome limiter": (
         OutcomeLimiter,
@@ -116,15 +118,20 @@
         lambda self, route, priority, caller: (
             OutcomeLimiter_admits(self, route, priority, caller) or True
         ),
-        test_mesh_overload.test_requests_whose_runs_fail_are_refused_early_the_least_important_first,
+        test_mesh_overload.test_failing_requests_of_the_lowest_priority_are_refused_early,
     ),
     "waiting for requests in flight at a stop": (
         Sidecar,
         "_is_busy",
         lambda self: False,
-        test_mesh.test_a_planned_stop_cuts_nothing_and_is_out_of_use_at_once,
+        test_mesh.test_a_drain_completes_requests_in_flight_and_ends_readiness_at_once,
+    ),
+    "splitter": (
+        Splitter,
+        "choose",
+        first_share,
+        test_mesh.test_a_split_route_distributes_requests_by_weight,
     ),
-    "splitter": (Splitter, "choose", first_share, test_mesh.test_a_split_keeps_its_shares),
     "digests of taken tables": (
         RouteTableStore,
         "was_taken",
