--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,8 +1,6 @@
-"""No module imports, by way of others, a module that imports it, and packages know no
-package that builds on them.
+"""Guards against import cycles and imports of higher layers.
 
-Imports for type hints alone (under ``TYPE_CHECKING``) count as well: they show who relies on
-whom.
+Imports for type hints alone (under ``TYPE_CHECKING``) count, since they are dependencies too.
 """
 
 from __future__ import annotations
@@ -13,9 +11,9 @@
 SOURCES = Path(__file__).parent.parent / "src"
 
 PROGRAMS = frozenset({"cli", "control", "controller", "ledger", "node", "sidecar"})
-"""Packages of the programs that run, and of the command line that starts them."""
+"""Packages of the programs and of the command line that starts them."""
 
-FORBIDDEN = {
+FORBIDDEN_IMPORTS = {
     "distribution": PROGRAMS,
     "replication": PROGRAMS,
     "control": frozenset({"node"}),
@@ -23,29 +21,29 @@
     "ledger": frozenset({"node"}),
     "sidecar": frozenset({"node"}),
 }
-"""Packages that a package must import nothing from."""
+"""Packages that each package must not import from."""
 
 
-def modules():
+def module_paths():
     """Return the path of each module by its dotted name."""
-    found = {}
+    paths = {}
     for path in sorted(SOURCES.glob("cranklane*/**/*.py")):
-        parts = path.relative_to(SOURCES).with_suffix("").parts
-        if parts[-1] == "__init__":
-            parts = parts[:-1]
-        found[".".join(parts)] = path
-    return found
+        names = path.relative_to(SOURCES).with_suffix("").parts
+        if names[-1] == "__init__":
+            names = names[:-1]
+        paths[".".join(names)] = path
+    return paths
 
 
-def imports_in(tree):
-    """Yield all import statements, also those under conditions and in functions."""
+def all_imports(tree):
+    """Yield all import statements, including those in conditions and functions."""
     for statement in ast.walk(tree):
         if isinstance(statement, ast.Import | ast.ImportFrom):
             yield statement
 
 
 def imports_at_load(body):
-    """Yield import statements that run, or serve type hints, when a module is imported."""
+    """Yield module-level import statements, including those in conditions."""
     for statement in body:
         if isinstance(statement, ast.Import | ast.ImportFrom):
             yield statement
@@ -58,8 +56,8 @@
                 yield from imports_at_load(handler.body)
 
 
-def names_imported(statements, known):
-    """Return the known modules that import statements name."""
+def imported_modules(statements, paths):
+    """Return the modules in ``paths`` that import statements name."""
     names = set()
     for statement in statements:
         if isinstance(statement, ast.Import):
@@ -67,49 +65,49 @@
         elif statement.module:
             names |= {f"{statement.module}.{alias.name}" for alias in statement.names}
             names.add(statement.module)
-    return names & known.keys()
+    return names & paths.keys()
 
 
-def imported_at_load(path, known):
-    """Return the known modules that a module imports when it is imported."""
-    return names_imported(imports_at_load(ast.parse(path.read_text()).body), known)
+def imported_at_load(path, paths):
+    """Return the modules in ``paths`` that a module imports at module level."""
+    return imported_modules(imports_at_load(ast.parse(path.read_text()).body), paths)
 
 
-def imported_anywhere(path, known):
-    """Return the known modules that a module imports, also within functions."""
-    return names_imported(imports_in(ast.parse(path.read_text())), known)
+def imported_anywhere(path, paths):
+    """Return the modules in ``paths`` that a module imports, including in functions."""
+    return imported_modules(all_imports(ast.parse(path.read_text())), paths)
 
 
 def forbidden_imports(imports):
-    """Return (importing module, imported module) for each import that FORBIDDEN names."""
+    """Return each forbidden import as a pair of importing and imported module."""
     return [
-        (name, other)
-        for name, others in sorted(imports.items())
-        for other in sorted(others)
-        if package_of(other) in FORBIDDEN.get(package_of(name), ())
+        (name, imported_name)
+        for name, imported_names in sorted(imports.items())
+        for imported_name in sorted(imported_names)
+        if package_of(imported_name) in FORBIDDEN_IMPORTS.get(package_of(name), ())
     ]
 
 
 def package_of(name):
-    """Return the product's package that a module is in, or nothing."""
-    root, _, rest = name.partition(".")
-    return rest.partition(".")[0] if root == "cranklane" else ""
+    """Return the package below ``cranklane`` that contains a module, or an empty string."""
+    root, _, subpath = name.partition(".")
+    return subpath.partition(".")[0] if root == "cranklane" else ""
 
 
-def cycle_in(imports):
-    """Return the modules of one cycle, or nothing."""
-    done = set()
+def find_cycle(imports):
+    """Return the modules of one import cycle, or an empty list."""
+    visited = set()
 
     def visit(name, path):
         if name in path:
             return [*path[path.index(name) :], name]
-        if name in done:
+        if name in visited:
             return []
-        for other in sorted(imports[name]):
-            cycle = visit(other, [*path, name])
+        for imported_name in sorted(imports[name]):
+            cycle = visit(imported_name, [*path, name])
             if cycle:
                 return cycle
-        done.add(name)
+        visited.add(name)
         return []
 
     for name in imports:
@@ -120,13 +118,13 @@
 
 
 def test_a_cycle_is_found():
-    assert cycle_in({"a": {"b"}, "b": {"c"}, "c": {"b"}}) == ["b", "c", "b"]
+    assert find_cycle({"a": {"b"}, "b": {"c"}, "c": {"b"}}) == ["b", "c", "b"]
 
 
 def test_an_import_for_type_hints_counts():
     source = "if TYPE_CHECKING:\n    from b import c\nelse:\n    import d\n"
     statements = imports_at_load(ast.parse(source).body)
-    assert names_imported(statements, {"b": 0, "b.c": 0, "d": 0}) == {"b", "b.c", "d"}
+    assert imported_modules(statements, {"b": 0, "b.c": 0, "d": 0}) == {"b", "b.c", "d"}
 
 
 def test_a_forbidden_import_is_found():
@@ -140,14 +138,14 @@
     ]
 
 
-def test_no_modules_import_each_other():
-    known = modules()
-    assert len(known) > 100
-    assert cycle_in({name: imported_at_load(path, known) for name, path in known.items()}) == []
+def test_no_import_cycles():
+    paths = module_paths()
+    assert len(paths) > 100
+    assert find_cycle({name: imported_at_load(path, paths) for name, path in paths.items()}) == []
 
 
-def test_no_package_imports_what_builds_on_it():
-    known = modules()
-    imports = {name: imported_anywhere(path, known) for name, path in known.items()}
-    assert {package_of(name) for name in imports} >= FORBIDDEN.keys()
+def test_no_package_imports_a_higher_layer():
+    paths = module_paths()
+    imports = {name: imported_anywhere(path, paths) for name, path in paths.items()}
+    assert {package_of(name) for name in imports} >= FORBIDDEN_IMPORTS.keys()
     assert forbidden_imports(imports) == []
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,7 @@
-"""Data folders of an earlier release are read by the programs of today.
+"""Guards against changes that make data folders of an earlier release unreadable.
 
-``stored_data`` holds what each program that stores something left behind: a snapshot and
-entries after it, so that both are read. The files are never written again.
+``stored_data`` holds a snapshot and later entries of each program, so that both are read.
+Never regenerate the files.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
 from cranklane_lab.scenarios.library import SMALL
 from cranklane_lab.simulation.world import simulate
 
-STORED = Path(__file__).with_name("stored_data")
-NOBODY = "10.9.9.9:7000"
-"""Address at which no control process answers."""
+STORED_DATA = Path(__file__).with_name("stored_data")
+UNREACHABLE_CONTROL = "10.9.9.9:7000"
+"""Address without a control process."""
 
 
 def delay(_source, _target):
     return 0.0005
 
 
-def on_stored_disk(program, start):
-    """Return what ``start`` returns in a process whose disk holds a program's stored files."""
+def start_on_stored_disk(program_name, start):
+    """Return the result of ``start`` in a process whose disk holds a program's stored files."""
 
     def scenario(world):
-        process = world.process(program, "a", "10.0.0.1")
-        for file in sorted((STORED / program).rglob("*")):
+        process = world.process(program_name, "a", "10.0.0.1")
+        for file in sorted((STORED_DATA / program_name).rglob("*")):
             if file.is_file():
-                name = str(file.relative_to(STORED / program))
-                process.storage(program).replace(name, file.read_bytes())
+                name = str(file.relative_to(STORED_DATA / program_name))
+                process.storage(program_name).replace(name, file.read_bytes())
         result = world.start(process, lambda: start(process))
         gevent.sleep(3.0)
         assert not world.loop.task_errors
@@ -48,12 +48,12 @@
     return simulate(1, delay, scenario)
 
 
-def started(program):
+def start_program(program):
     program.start()
     return program
 
 
-def control(process):
+def start_control(process):
     settings = ControlSettings(
         name="control-0",
         zone="a",
@@ -64,22 +64,22 @@
         replicas=["10.0.0.1:7000"],
         founder=True,
     )
-    return started(ControlProcess(process, settings))
+    return start_program(ControlProcess(process, settings))
 
 
-def ledger(process):
+def start_ledger(process):
     settings = LedgerSettings(
         name="ledger-0",
         zone="a",
         group="main",
         listen="10.0.0.1:7000",
-        controls=[NOBODY],
+        controls=[UNREACHABLE_CONTROL],
         data="ledger",
     )
-    return started(LedgerProcess(process, settings))
+    return start_program(LedgerProcess(process, settings))
 
 
-def controller(process):
+def start_controller(process):
     settings = ControllerSettings(
         name="controller-0",
         zone="a",
@@ -90,14 +90,14 @@
         peer_port=7000,
         tolerated_losses=0,
     )
-    return started(Controller(process, settings))
+    return start_program(Controller(process, settings))
 
 
-def node(process):
+def start_node(process):
     settings = NodeSettings(
         name="signing-0",
         zone="a",
-        controls=[NOBODY],
+        controls=[UNREACHABLE_CONTROL],
         http="10.0.0.1:80",
         data="node",
         tenant="songhan",
@@ -105,45 +105,45 @@
         listen="10.0.0.1:0",
         worker="10.0.0.1:8080",
     )
-    return started(NodeProcess(process, settings))
+    return start_program(NodeProcess(process, settings))
 
 
-def test_control_comes_back_with_its_documents():
-    process = on_stored_disk("control", control)
-    text = SMALL.policy()
-    assert process.store.revision == 2
-    assert process.store.document("songhan").text == text + "\n"
-    assert process.replica.log.snapshot.index > 0
-    assert process.replica.log.last_index > process.replica.log.snapshot.index
+def test_control_restores_its_documents():
+    program = start_on_stored_disk("control", start_control)
+    policy = SMALL.policy()
+    assert program.store.revision == 2
+    assert program.store.document("songhan").text == policy + "\n"
+    assert program.replica.log.snapshot.index > 0
+    assert program.replica.log.last_index > program.replica.log.snapshot.index
 
 
-def test_a_back_up_of_control_is_read():
-    inspection = backup.inspect_backup((STORED / "control-backup").read_bytes())
+def test_a_control_backup_is_readable():
+    inspection = backup.inspect_backup((STORED_DATA / "control-backup").read_bytes())
     assert (inspection.revision, inspection.documents) == (1, [("songhan", 1)])
 
 
-def test_a_ledger_gives_the_answers_that_it_stored():
-    process = on_stored_disk("ledger", ledger)
-    assert len(process.store) == 3
+def test_a_ledger_returns_its_stored_answers():
+    program = start_on_stored_disk("ledger", start_ledger)
+    assert len(program.store) == 3
 
-    entries = [LedgerEntry.unpack(packed) for packed in process.store._entries.values()]
+    entries = [LedgerEntry.unpack(packed) for packed in program.store._entries.values()]
     assert {entry.key for entry in entries} == {"key-a", "key-b", "key-c"}
     for entry in entries:
         begin = LedgerBegin(99, 1000, 4000, entry.digest, entry.tenant, entry.service, entry.key)
-        grant = process.store.apply(LedgerBatch(process.store.now, [begin], []).pack()).grants[0]
+        grant = program.store.apply(LedgerBatch(program.store.now, [begin], []).pack()).grants[0]
         assert (grant.decision, grant.status) == (LedgerDecision.ANSWERED, 200)
         assert grant.body
 
 
-def test_a_controller_comes_back_with_its_route_table():
-    process = on_stored_disk("controller", controller)
-    expected = json.loads((STORED / "route-table.json").read_text())
-    assert process.store.version == expected["version"] == 5
-    assert json.loads(process.store.document) == expected
+def test_a_controller_restores_its_route_table():
+    program = start_on_stored_disk("controller", start_controller)
+    expected = json.loads((STORED_DATA / "route-table.json").read_text())
+    assert program.store.version == expected["version"] == 5
+    assert json.loads(program.store.document) == expected
 
 
-def test_a_node_comes_back_with_the_configuration_it_had_adopted():
-    process = on_stored_disk("node", node)
-    assert process.configuration.version == 2
-    service = process.configuration.service("songhan", "signing")
+def test_a_node_restores_its_adopted_configuration():
+    program = start_on_stored_disk("node", start_node)
+    assert program.configuration.version == 2
+    service = program.configuration.service("songhan", "signing")
     assert service.route("POST", "/signatures/1") is not None
