--- a/tests/test_authentication.py
+++ b/tests/test_authentication.py
@@ -55,7 +55,7 @@
         ({"key": b"batch-key"}, Caller("batch", 3, limited=True)),
     ],
 )
-def test_who_may_send_a_request(asked, caller):
+def test_an_accepted_request_has_a_caller(asked, caller):
     ingress = Ingress()
     assert ingress.identify(**asked).ok_value == caller
     assert ingress.refusals == []
@@ -71,7 +71,7 @@
         (False, {"key": b"unknown"}, Reason.TABLE_STALE, 500),
     ],
 )
-def test_who_may_not(confirmed, asked, reason, retry_after_ms):
+def test_a_rejected_request_has_a_reason(confirmed, asked, reason, retry_after_ms):
     ingress = Ingress(confirmed)
     refused = ingress.identify(**asked)
     assert isinstance(refused, Err)
@@ -81,11 +81,11 @@
 
 
 @pytest.mark.parametrize("asked", [{"table": replace(TABLE, tenants=None)}, {"run": RUN}])
-def test_a_request_without_a_key_needs_no_certain_table(asked):
+def test_a_request_without_a_key_needs_no_confirmed_table(asked):
     assert isinstance(Ingress(confirmed=False).identify(**asked).ok_value, Caller)
 
 
-def test_a_tenant_over_its_rate_is_refused_and_what_has_not_run_does_not_count():
+def test_a_tenant_over_its_rate_is_refused_and_not_charged_for_requests_not_run():
     ingress = Ingress()
     results = [ingress.identify(key=b"batch-key") for _ in range(20)]
     refused = [result.err_value for result in results if isinstance(result, Err)]
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -1,8 +1,4 @@
-"""Each promise of sidecars and controllers breaks without the mechanism it rests on.
-
-Every entry switches one mechanism off and runs the test that provokes the failure,
-which must then fail.
-"""
+"""Ablation tests: with a mechanism disabled, the test of its guarantee must fail."""
 
 from __future__ import annotations
 
@@ -98,7 +94,7 @@
         WorkerRegistry,
         "_mark_leaving",
         no_end,
-        test_mesh_workers.test_a_draining_worker_gets_nothing_once_that_is_acknowledged,
+        test_mesh_workers.test_a_draining_worker_gets_no_requests_after_the_acknowledgement,
     ),
     "retry budget": (
         RetryBudget,
@@ -170,7 +166,7 @@
         Destination,
         "is_expired",
         lambda self, now: self.confirmed_at is not None,
-        test_mesh_workers.test_a_machine_that_only_control_cannot_reach_is_used_on,
+        test_mesh_workers.test_a_machine_partitioned_only_from_control_stays_in_use,
     ),
     "look for a lost leader": (
         Election,
@@ -192,7 +188,7 @@
         Condition,
         "decayed",
         lambda self, age: self,
-        test_worker_condition.test_what_control_has_told_fades_and_is_not_taken_twice,
+        test_worker_condition.test_a_reported_condition_decays_and_is_not_applied_twice,
     ),
     "tokens that lapse": (
         RetryBudget,
@@ -222,13 +218,13 @@
         cost,
         "condition_factor",
         lambda destination, now: 1.0,
-        lambda: test_mesh_workers.test_a_worker_much_worse_than_others_gets_little("slow", 15),
+        lambda: test_mesh_workers.test_a_slow_or_failing_worker_gets_few_requests("slow", 15),
     ),
     "fault ratio": (
         FaultRatio,
         "sample",
         lambda self, now, failed: None,
-        lambda: test_mesh_workers.test_a_worker_much_worse_than_others_gets_little("failing", 60),
+        lambda: test_mesh_workers.test_a_slow_or_failing_worker_gets_few_requests("failing", 60),
     ),
     "question to the worker": (
         WorkerProbe,
@@ -262,7 +258,7 @@
 
 
 @pytest.mark.parametrize("mechanism", sorted(MECHANISMS))
-def test_without_its_mechanism_the_promise_breaks(mechanism, monkeypatch):
+def test_a_disabled_mechanism_breaks_its_guarantee(mechanism, monkeypatch):
     owner, name, replacement, promise = MECHANISMS[mechanism]
     monkeypatch.setattr(owner, name, replacement)
     with pytest.raises(AssertionError):
--- a/tests/test_mesh_workers.py
+++ b/tests/test_mesh_workers.py
@@ -9,7 +9,7 @@
 from mesh_support import play, runs
 
 
-def test_a_worker_that_refuses_is_passed_over():
+def test_requests_refused_by_a_worker_are_sent_to_another():
     def script(mesh):
         mesh.machines[0].worker.state.refuse = 50
         answers = [mesh.request(mesh.machines[2], "/sign/x", "POST", b"b") for _ in range(3)]
@@ -18,7 +18,7 @@
     assert play(script) == [200, 200, 200]
 
 
-def test_a_draining_worker_gets_nothing_once_that_is_acknowledged():
+def test_a_draining_worker_gets_no_requests_after_the_acknowledgement():
     def script(mesh):
         leaving = mesh.machines[0]
         assert leaving.worker.drain() == 200
@@ -53,7 +53,7 @@
     assert play(script) == (200, 4, 1)
 
 
-def test_a_restarted_sidecar_leaves_a_leaving_worker_alone():
+def test_a_restarted_sidecar_sends_nothing_to_a_draining_worker():
     def script(mesh):
         machine = mesh.machines[2]
         assert machine.worker.drain() == 200
@@ -65,7 +65,7 @@
     assert play(script) == (503, 0)
 
 
-def test_a_deregistered_worker_gets_nothing_and_its_successor_everything():
+def test_requests_go_to_the_successor_of_a_deregistered_worker():
     def script(mesh):
         machine = mesh.machines[2]
         assert machine.worker.deregister() == 200
@@ -80,7 +80,7 @@
     assert play(script) == (503, 200, b"i-new")
 
 
-def test_a_worker_that_says_nothing_any_more_gets_nothing():
+def test_a_lost_worker_gets_no_requests():
     def script(mesh):
         mesh.machines[0].worker_process.kill(power_lost=True)
         gevent.sleep(8.0)
@@ -91,7 +91,7 @@
     assert play(script) == ({200}, True)
 
 
-def test_a_machine_that_is_cut_off_holds_up_one_request_only():
+def test_a_partitioned_machine_delays_at_most_one_request():
     def script(mesh):
         for machine in mesh.machines[1:]:
             mesh.world.network.cut(mesh.machines[0].name, machine.name)
@@ -121,7 +121,7 @@
         mesh.world.network.cut(controller.process.name, machine.process.name)
 
 
-def test_a_machine_that_only_control_cannot_reach_is_used_on():
+def test_a_machine_partitioned_only_from_control_stays_in_use():
     def script(mesh):
         cut_from_controllers(mesh, mesh.machines[2])
         statuses = []
@@ -133,7 +133,7 @@
     assert play(script) == [200] * 60
 
 
-def test_a_machine_that_nobody_reaches_any_more_is_forgotten():
+def test_an_unreachable_machine_is_removed():
     def script(mesh):
         mesh.machines[2].process.kill(power_lost=True)
         mesh.request(mesh.machines[0], "/other/x")
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize(("fault", "most"), [("slow", 15), ("failing", 60)])
-def test_a_worker_much_worse_than_others_gets_little(fault, most):
+def test_a_slow_or_failing_worker_gets_few_requests(fault, most):
     def script(mesh):
         worse = mesh.machines[0].worker.state
         if fault == "slow":
@@ -162,7 +162,7 @@
     assert play(script, slots=40) == (True, True)
 
 
-def test_a_worker_that_refuses_without_reason_gets_little():
+def test_a_refusing_worker_gets_few_requests():
     def script(mesh):
         mesh.machines[0].worker.state.refuse = 10_000
         for number in range(300):
@@ -174,7 +174,7 @@
     assert play(script, slots=40) < 60
 
 
-def test_a_request_waits_a_moment_for_the_first_worker_of_its_service():
+def test_a_request_waits_briefly_for_the_first_worker_of_its_service():
     def script(mesh):
         machine = mesh.machines[0]
         known = machine.sidecar.destinations
@@ -189,7 +189,7 @@
     assert play(script) == (200, True)
 
 
-def test_leaving_workers_that_are_asked_first_do_not_use_up_the_tries():
+def test_draining_workers_do_not_exhaust_the_attempts():
     def script(mesh):
         for machine in mesh.machines[:5]:
             assert machine.worker.drain() == 200
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -120,7 +120,7 @@
     assert play(script)
 
 
-def test_an_emptied_founder_does_not_found_a_second_group():
+def test_a_wiped_founder_does_not_found_a_second_group():
     def script(run):
         process = run.fleet.control_processes[0]
         process.kill(power_lost=True)
--- a/tests/test_replication_log.py
+++ b/tests/test_replication_log.py
@@ -62,7 +62,7 @@
         assert (log.last_index, torn_bytes) == (2, cut - 2 * length)
 
 
-def test_damage_below_a_synced_offset_is_refused(storage):
+def test_corruption_below_a_synced_offset_is_refused(storage):
     filled(storage, 4)
     length = len(storage.read(LOG_FILE)) // 4
     for position in (3, length - 1, length + 20, 2 * length + 1):
@@ -73,7 +73,7 @@
         storage.replace(LOG_FILE, before)
 
 
-def test_a_damaged_snapshot_is_refused(storage):
+def test_a_corrupted_snapshot_is_refused(storage):
     log = filled(storage, 3)
     log.compact(LogSnapshot(1, 2, [], b"state"))
     change(storage, SNAPSHOT_FILE, 10)
@@ -118,7 +118,7 @@
     assert again.state.identity == votes.state.identity
 
 
-def test_a_lost_or_damaged_vote_file_beside_a_log_is_refused(storage):
+def test_a_lost_or_corrupted_vote_file_beside_a_log_is_refused(storage):
     VoteFile(storage).open(Random(1), has_log=False)
     change(storage, VOTE_FILE, 6)
     with pytest.raises(DamagedLogError):
--- a/tests/test_sidecar_metrics.py
+++ b/tests/test_sidecar_metrics.py
@@ -6,7 +6,7 @@
 from cranklane.sidecar.telemetry.metrics import SidecarMetrics
 
 
-def test_counters_and_histograms_are_told_as_they_were_counted():
+def test_counters_and_histograms_are_exported():
     metrics = SidecarMetrics()
     metrics.gauge("cranklane_running", "Requests now.", lambda: 3)
     for seconds in (0.004, 0.3, 20.0):
--- a/tests/test_sidecar_rules.py
+++ b/tests/test_sidecar_rules.py
@@ -51,9 +51,7 @@
         (WELL, 7.0, WELL, False),
     ],
 )
-def test_a_condition_is_reported_when_callers_believe_something_else(
-    reported, age, current, expected
-):
+def test_a_condition_is_reported_if_callers_assume_another(reported, age, current, expected):
     assert should_report(reported, age, current) is expected
 
 
@@ -67,7 +65,7 @@
     assert ratio.at(10.0) == pytest.approx(0.9, abs=0.01)
 
 
-def test_a_slow_worker_counts_as_slow_until_it_was_idle_for_a_while():
+def test_slowness_follows_the_last_runs_and_decays():
     slowness = Slowness()
     for _ in range(50):
         slowness.sample(10.0, 100.0)
@@ -75,7 +73,7 @@
     assert slowness.at(16.0) == pytest.approx(8.5, abs=0.1)
 
 
-def test_one_slow_run_hardly_raises_what_is_expected():
+def test_one_slow_run_barely_raises_the_expected_latency():
     latencies = ExpectedLatencies()
     latencies.ratio("r", 0.1)
     latencies.ratio("r", 1.1)
@@ -101,16 +99,16 @@
 
 
 @pytest.mark.parametrize(("seconds", "suspended"), [(1.5, False), (3.0, False), (3.1, True)])
-def test_a_late_check_means_that_the_machine_stood_still(seconds, suspended):
+def test_a_late_check_indicates_a_suspension(seconds, suspended):
     assert was_suspended(seconds, heartbeat_seconds=1.5) is suspended
 
 
 @pytest.mark.parametrize(("slots", "usable"), [(1, 1), (9, 9), (10, 9), (20, 19), (100, 95)])
-def test_a_larger_worker_keeps_some_slots_free(slots, usable):
+def test_a_large_worker_reserves_some_slots(slots, usable):
     assert usable_slots(slots) == usable
 
 
-def test_a_start_that_was_forgotten_comes_as_a_new_one():
+def test_an_instance_with_a_forgotten_sequence_counts_as_new():
     history = InstanceHistory()
     assert history.advance("a", 5)
     assert history.advance("b", 1)
@@ -121,7 +119,7 @@
     assert not history.is_older("a", "b")
 
 
-def test_a_start_that_left_is_remembered_among_64():
+def test_the_last_64_ended_instances_are_remembered():
     history = InstanceHistory()
     history.end("gone")
     for number in range(63):
@@ -142,7 +140,7 @@
         (4.1, False, False, False),
     ],
 )
-def test_a_kept_connection_is_used_again_unless_it_may_be_closed(rested, careful, closed, reused):
+def test_an_idle_connection_is_reused_unless_it_may_be_closed(rested, careful, closed, reused):
     now = [100.0]
     runtime = SimpleNamespace(
         monotonic=lambda: now[0],
@@ -187,7 +185,7 @@
         (TimeoutError(), True, 408),
     ],
 )
-def test_a_head_that_cannot_be_read_is_answered(error, started, status):
+def test_an_unreadable_head_is_answered(error, started, status):
     with pytest.raises(UnreadableRequestError) as raised:
         read_head(connection_that(head=error, started=started), Limits())
     assert raised.value.status == status
@@ -212,13 +210,13 @@
         (MessageCutError(), None),
     ],
 )
-def test_a_body_that_cannot_be_read_is_answered_while_its_caller_is_there(error, status):
+def test_an_unreadable_body_is_answered_unless_the_caller_disconnected(error, status):
     with pytest.raises(UnreadableRequestError) as raised:
         read_body(connection_that(body=error), head_of(), Limits())
     assert raised.value.status == status
 
 
-def test_a_body_that_is_announced_as_too_large_is_not_asked_for():
+def test_a_body_announced_as_too_large_gets_no_100_continue():
     sent = []
     connection = connection_that(send=sent.append)
     expecting = {"Expect": b"100-Continue"}
@@ -243,7 +241,7 @@
         (0.0, StopTimes(0.0, 100.0, 99.5)),
     ],
 )
-def test_a_short_stop_gives_callers_half_of_its_time(stop_seconds, times):
+def test_stop_times_by_stop_duration(stop_seconds, times):
     assert stop_times(100.0, stop_seconds) == times
 
 
@@ -300,6 +298,6 @@
         (decision_of(Outcome.ANSWERED, status=0), End.LEFT, Cause()),
     ],
 )
-def test_how_a_request_ended_and_why(decision, end, cause):
+def test_end_and_cause_of_a_request(decision, end, cause):
     assert end_of(decision) is end
     assert cause_of(decision, end) == cause
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,6 +1,6 @@
-"""Machines that are suspended for seconds: what lapses meanwhile has lapsed when they wake up.
+"""Guards against leases, deadlines and quotas that outlive the suspension of a machine.
 
-Each test breaks its promise with a steady clock that stands still during a suspension.
+Their counterparts show the failure with a clock that pauses during a suspension.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 @pytest.fixture
-def clock_stands_still(monkeypatch):
+def clock_pauses_during_suspension(monkeypatch):
     """Give processes the kernel's usual steady clock."""
     monkeypatch.setattr(SimulatedProcess, "counts_suspension", False)
 
@@ -40,7 +40,7 @@
     assert RealRuntime().monotonic() == 1234.5
 
 
-def test_timers_of_a_suspended_machine_stand_still_and_what_it_gets_does_not():
+def test_a_suspension_pauses_timers_but_not_the_clock():
     def script(mesh):
         process = mesh.machines[0].process
         begun = mesh.world.loop.now()
@@ -74,11 +74,11 @@
     return test_replication.replica(run, old).may_read
 
 
-def test_a_leader_that_was_suspended_leads_no_more():
+def test_a_suspended_leader_loses_its_lease():
     assert test_replication.play(suspended_leader_believes) is False
 
 
-def test_with_a_clock_that_stands_still_it_would(clock_stands_still):
+def test_a_suspended_leader_keeps_its_lease_with_a_paused_clock(clock_pauses_during_suspension):
     assert test_replication.play(suspended_leader_believes) is True
 
 
@@ -96,12 +96,12 @@
     return status, len(runs(mesh)) - ran
 
 
-def test_a_key_taken_away_does_not_run_at_a_machine_that_was_suspended():
+def test_a_revoked_key_does_not_run_after_a_suspension():
     status, ran = test_tenants.play(revoked_while_suspended)
     assert (status in (401, 503), ran) == (True, 0)
 
 
-def test_with_a_clock_that_stands_still_it_would_run(clock_stands_still):
+def test_a_revoked_key_runs_after_a_suspension_with_a_paused_clock(clock_pauses_during_suspension):
     assert test_tenants.play(revoked_while_suspended) == (200, 1)
 
 
@@ -116,11 +116,13 @@
     return age is None or age >= AWAY_SECONDS - confirmation.ASK_SECONDS
 
 
-def test_a_controller_that_was_suspended_confirms_nothing_as_new():
+def test_a_suspended_controller_has_no_recent_confirmation():
     assert play(confirmed_age)
 
 
-def test_with_a_clock_that_stands_still_it_would_confirm(clock_stands_still):
+def test_a_suspended_controller_has_a_recent_confirmation_with_a_paused_clock(
+    clock_pauses_during_suspension,
+):
     assert not play(confirmed_age)
 
 
@@ -135,11 +137,13 @@
     return quota._clock() - quota._updated_at <= UPDATE_TTL_SECONDS
 
 
-def test_a_sidecar_that_was_suspended_does_not_follow_old_shares():
+def test_a_suspended_sidecar_does_not_use_expired_shares():
     assert not play(follows_old_shares)
 
 
-def test_with_a_clock_that_stands_still_it_would_follow_them(clock_stands_still):
+def test_a_suspended_sidecar_uses_expired_shares_with_a_paused_clock(
+    clock_pauses_during_suspension,
+):
     assert play(follows_old_shares)
 
 
@@ -150,11 +154,11 @@
     return test_ledger.late_runs(run, SimulatedProcess.suspend)
 
 
-def test_a_node_that_was_suspended_does_not_run_after_its_lease():
+def test_a_suspended_node_does_not_run_after_its_lease():
     assert test_ledger.play(late_runs) == []
 
 
-def test_with_a_clock_that_stands_still_it_would_run_late(clock_stands_still):
+def test_a_suspended_node_runs_after_its_lease_with_a_paused_clock(clock_pauses_during_suspension):
     assert test_ledger.play(late_runs)
 
 
@@ -173,11 +177,13 @@
     return len(runs(mesh))
 
 
-def test_a_request_that_waited_during_a_suspension_does_not_start_after_its_deadline():
+def test_a_request_queued_during_a_suspension_does_not_start_after_its_deadline():
     assert play(runs_begun) == 4
 
 
-def test_with_a_clock_that_stands_still_it_would_start(clock_stands_still):
+def test_a_request_queued_during_a_suspension_starts_late_with_a_paused_clock(
+    clock_pauses_during_suspension,
+):
     assert play(runs_begun) == 8
 
 
@@ -185,7 +191,7 @@
 
 
 @pytest.mark.parametrize("phase", [0.0, 0.75])
-def test_a_worker_that_was_suspended_with_its_sidecar_is_not_taken_for_lost(phase):
+def test_a_worker_suspended_with_its_sidecar_is_not_lost(phase):
     def script(mesh):
         machine = mesh.add_machine("t", beats=False)
         gevent.sleep(phase)
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -40,24 +40,24 @@
     assert Trial(shape, 1).play().sick_share < 0.036
 
 
-def test_without_the_word_of_their_own_sidecars_slow_workers_get_more():
+def test_slow_workers_get_more_requests_without_reported_conditions():
     told = Trial(LARGE, 1).play().sick_share
     assert Trial(replace(LARGE, told=False), 1).play().sick_share > 2 * told
 
 
-def test_few_requests_go_to_workers_that_fail():
+def test_few_requests_go_to_failing_workers():
     told = Trial(FAILING, 1).play()
     untold = Trial(replace(FAILING, told=False), 1).play()
     assert told.sick_share < 0.02
     assert untold.sick_share > 0.1
 
 
-def test_a_service_that_is_well_costs_next_to_no_messages():
+def test_a_healthy_service_causes_few_reports():
     outcome = Trial(replace(LARGE, sick_part=0.0), 1).play()
     assert outcome.told < 0.01 * len(outcome.seconds)
 
 
-def test_a_service_half_of_which_is_sick_refuses_nothing():
+def test_a_service_with_half_of_its_workers_slow_refuses_nothing():
     half = replace(LARGE, sick_part=0.5, load=0.3, seconds=6.0)
     told = Trial(half, 1).play()
     untold = Trial(replace(half, told=False), 1).play()
@@ -66,7 +66,7 @@
     assert told.quantile(0.9) < untold.quantile(0.9)
 
 
-def test_callers_are_told_once_of_a_worker_that_turns_slow_and_once_that_it_is_well():
+def test_slowness_and_recovery_are_reported_in_few_updates():
     clock, news, condition = condition_with_news()
     for _ in range(20):
         clock.now += 0.5
@@ -80,7 +80,7 @@
     assert len(news) <= slow + 5
 
 
-def test_judgements_are_told_no_faster_than_the_stated_rate():
+def test_reports_stay_within_the_rate_limit():
     clock, news, condition = condition_with_news()
     for number in range(4000):
         clock.now += 0.001
@@ -88,7 +88,7 @@
     assert 2 <= len(news) <= 4.0 / MIN_REPORT_SECONDS
 
 
-def test_a_worker_that_gets_nothing_any_more_is_told_to_be_well_in_time():
+def test_an_idle_worker_is_reported_healthy_again():
     clock, _, condition = condition_with_news()
     clock.now += 1.0
     for _ in range(10):
@@ -122,7 +122,7 @@
     )
 
 
-def test_what_control_has_told_fades_and_is_not_taken_twice():
+def test_a_reported_condition_decays_and_is_not_applied_twice():
     clock = Clock()
     destinations, known = destinations_with(clock, slowness=80)
     assert condition_factor(known, clock.now) == pytest.approx(4.0)
@@ -133,7 +133,7 @@
     assert faded == pytest.approx(1.0)
 
 
-def test_a_worker_that_is_well_is_avoided_where_only_the_way_to_it_is_slow():
+def test_a_healthy_worker_behind_a_slow_path_is_avoided():
     clock = Clock()
     _, known = destinations_with(clock)
     for _ in range(10):
--- a/tests/test_worker_end.py
+++ b/tests/test_worker_end.py
@@ -35,7 +35,7 @@
     return seen
 
 
-def test_the_end_of_a_worker_names_all_that_ran_there_once():
+def test_a_worker_crash_is_reported_once_with_all_its_runs():
     def script(mesh):
         target = mesh.machines[2]
         seen = ends_seen(target)
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("fault", ["lose_answers", "cut_answers", "garbage_answers"])
-def test_an_answer_that_is_lost_is_no_end_of_the_worker(fault):
+def test_a_lost_answer_is_not_reported_as_a_worker_exit(fault):
     def script(mesh):
         target = mesh.machines[2]
         seen = ends_seen(target)
@@ -66,7 +66,7 @@
     assert play(script) == ([], False)
 
 
-def test_the_end_of_a_worker_that_has_said_that_it_leaves_is_planned():
+def test_the_exit_of_a_draining_worker_is_planned():
     def script(mesh):
         target = mesh.machines[2]
         seen = ends_seen(target)
@@ -81,7 +81,7 @@
     assert play(script) == [True]
 
 
-def test_looking_for_an_end_leaves_a_connection_that_is_used_again():
+def test_exit_detection_keeps_the_connection_reusable():
     def script(mesh):
         worker = mesh.machines[2].worker.state
         worker.lose_answers = 1
