--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,6 @@
 """Guards against changes that make data folders of an earlier release unreadable.
 
-``stored_data`` holds a snapshot and later entries of each program, so that both are read.
-Never regenerate the files.
+``stored_data`` holds a snapshot and later entries of each program; never regenerate them.
 """
 
 from __future__ import annotations
