--- a/tests/mesh_support.py
+++ b/tests/mesh_support.py
@@ -51,7 +51,7 @@
     return [run for machine in mesh.machines for run in machine.worker.state.runs]
 
 
-def each_worker(mesh, **attributes):
+def configure_workers(mesh, **attributes):
     """Set attributes of the state of every worker, such as faults and the service time."""
     for machine in mesh.machines:
         for name, value in attributes.items():
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -9,7 +9,7 @@
 from cranklane_lab.simulation.world import simulate
 from cranklane_lab.standins.raw_http import RawConnection, exchange, request_bytes
 from cranklane_lab.standins.routed_worker import NAMES
-from mesh_support import ROUTES, delay, each_worker, play, runs
+from mesh_support import ROUTES, configure_workers, delay, play, runs
 
 
 def test_a_request_reaches_a_worker_with_its_target_and_body_unchanged():
@@ -46,7 +46,7 @@
     def script(mesh):
         body = bytes(range(256)) * (length // 256 + 1)
         body = body[:length]
-        each_worker(mesh, body=body[::-1])
+        configure_workers(mesh, body=body[::-1])
         answer = mesh.request(mesh.machines[2], "/read/x", "POST", body)
         return runs(mesh)[0].body == body, answer.body == body[::-1], answer.whole
 
@@ -154,7 +154,7 @@
 )
 def test_an_unsafe_request_gets_502_and_no_retry_after_a_lost_or_invalid_answer(fault):
     def script(mesh):
-        each_worker(mesh, **{fault: 5})
+        configure_workers(mesh, **{fault: 5})
         answers = [
             mesh.request(mesh.machines[2], "/sign/x", "POST", b"b", name=f"r{n}") for n in range(4)
         ]
@@ -166,7 +166,7 @@
 
 def test_surplus_and_late_answers_never_reach_another_caller():
     def script(mesh):
-        each_worker(mesh, surplus_answers=3, late_answers=3)
+        configure_workers(mesh, surplus_answers=3, late_answers=3)
         answers = [mesh.request(mesh.machines[2], "/sign/x", "POST", b"b") for _ in range(12)]
         return {(answer.status, answer.body) for answer in answers}
 
@@ -175,7 +175,7 @@
 
 def test_an_answer_without_content_length_is_forwarded_with_one():
     def script(mesh):
-        each_worker(mesh, unframed_answers=1)
+        configure_workers(mesh, unframed_answers=1)
         answer = mesh.request(mesh.machines[2], "/read/x")
         return answer.body, answer.headers.get("content-length")
 
@@ -184,7 +184,7 @@
 
 def test_a_truncated_large_answer_does_not_appear_complete():
     def script(mesh):
-        each_worker(mesh, body=b"z" * 300_000, cut_answers=3)
+        configure_workers(mesh, body=b"z" * 300_000, cut_answers=3)
         answer = mesh.request(mesh.machines[2], "/read/x")
         return answer.whole
 
@@ -193,7 +193,7 @@
 
 def test_a_caller_disconnect_cancels_the_run_within_half_a_second():
     def script(mesh):
-        each_worker(mesh, seconds=4.0)
+        configure_workers(mesh, seconds=4.0)
         process = mesh.client_process("client", mesh.machines[2].host)
         connection = RawConnection(process, mesh.machines[2].callers)
         headers = {"Host": HOST, NAMES.request.decode(): "gone"}
@@ -208,7 +208,7 @@
 
 def test_a_route_timeout_is_answered_504():
     def script(mesh):
-        each_worker(mesh, seconds=9.0)
+        configure_workers(mesh, seconds=9.0)
         started_at = mesh.world.loop.now()
         answer = mesh.request(mesh.machines[0], "/other/x")
         return answer.status, round(mesh.world.loop.now() - started_at, 1)
@@ -218,7 +218,7 @@
 
 def test_a_drain_completes_requests_in_flight_and_ends_readiness_at_once():
     def script(mesh):
-        each_worker(mesh, seconds=3.0)
+        configure_workers(mesh, seconds=3.0)
         statuses = []
 
         def send_request(machine):
@@ -248,7 +248,7 @@
     """Guards against lost requests while most machines of a zone drain at once."""
 
     def script(mesh):
-        each_worker(mesh, seconds=0.9)
+        configure_workers(mesh, seconds=0.9)
         machine = mesh.machines[0]
         answers = {}
 
@@ -289,7 +289,7 @@
     def script(mesh):
         machine = mesh.machines[2]
         process = mesh.client_process("client", machine.host)
-        each_worker(mesh, body=b"z" * 3_000_000)
+        configure_workers(mesh, body=b"z" * 3_000_000)
         connection = RawConnection(process, machine.callers)
         headers = {"Host": HOST, NAMES.request.decode(): "slow"}
         connection.send(request_bytes("GET", "/other/x", headers))
--- a/tests/test_mesh_overload.py
+++ b/tests/test_mesh_overload.py
@@ -5,12 +5,12 @@
 import gevent
 
 from cranklane_lab.simulation.mesh import route_table
-from mesh_support import ROUTES, each_worker, play
+from mesh_support import ROUTES, configure_workers, play
 
 
 def test_retries_after_refusals_stay_within_the_budget():
     def script(mesh):
-        each_worker(mesh, refuse=1000)
+        configure_workers(mesh, refuse=1000)
         answers = [mesh.request(mesh.machines[2], "/read/x") for _ in range(60)]
         arrivals = sum(machine.worker.state.arrivals for machine in mesh.machines)
         assert {answer.status for answer in answers} == {503}
@@ -22,7 +22,7 @@
 
 def test_a_saturated_worker_stays_within_its_slots_and_refusals_come_early():
     def script(mesh):
-        each_worker(mesh, seconds=0.4)
+        configure_workers(mesh, seconds=0.4)
         answers = []
 
         def send_request():
@@ -77,7 +77,7 @@
 
 def test_under_overload_few_requests_are_sent_to_a_gate_that_refuses_them():
     def script(mesh):
-        each_worker(mesh, seconds=0.5)
+        configure_workers(mesh, seconds=0.5)
         gate_request_ids = []
         for machine in mesh.machines:
             original = machine.sidecar.gate.run
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -14,7 +14,7 @@
 from cranklane.common.logs import write_lines_to
 from cranklane.common.rate_limit import RateLimit
 from cranklane_lab.simulate import quiet
-from mesh_support import each_worker, play
+from mesh_support import configure_workers, play
 
 
 @contextmanager
@@ -41,7 +41,7 @@
 
 def test_a_refused_request_leads_to_the_queue_that_was_full(tmp_path):
     def script(mesh):
-        each_worker(mesh, seconds=3.0)
+        configure_workers(mesh, seconds=3.0)
         for _ in range(8):
             gevent.spawn(mesh.request, mesh.machines[0], "/read/x")
         gevent.sleep(0.2)
@@ -57,7 +57,7 @@
 
 def test_a_request_of_unknown_outcome_leads_to_the_worker_that_lost_its_answer(tmp_path):
     def script(mesh):
-        each_worker(mesh, lose_answers=9)
+        configure_workers(mesh, lose_answers=9)
         answer = mesh.request(mesh.machines[2], "/sign/x", "POST", b"b", name="unknown-one")
         assert answer.status == 502
 
@@ -69,7 +69,7 @@
 
 def test_a_late_request_leads_to_what_took_its_time(tmp_path):
     def script(mesh):
-        each_worker(mesh, seconds=1.3)
+        configure_workers(mesh, seconds=1.3)
         assert mesh.request(mesh.machines[2], "/read/x", name="late-one").status == 200
 
     told = explained(script, tmp_path, "late-one")
