--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""Guards against leases, deadlines and quotas that outlive the suspension of a machine.
+"""Guards against leases, deadlines and quota shares that outlive a machine's suspension.
 
 Their counterparts show the failure with a clock that pauses during a suspension.
 """
