--- a/src/cranklane/node/callers.py
+++ b/src/cranklane/node/callers.py
@@ -149,5 +149,7 @@
             }
             if not waiting:
                 continue
-            for connection in self._runtime.hung_up([entry[0] for entry in waiting.values()]):
+            for connection in self._runtime.closed_by_peer(
+                [entry[0] for entry in waiting.values()]
+            ):
                 waiting[id(connection)][1].cancel(Reason.CANCELLED)
--- a/src/cranklane/sidecar/admission/crash_evidence.py
+++ b/src/cranklane/sidecar/admission/crash_evidence.py
@@ -16,7 +16,7 @@
 from cranklane.sidecar.quarantine.table import Quarantine
 from cranklane.sidecar.request.attempt import Reply, unknown
 from cranklane.sidecar.worker.exit import (
-    LEAVING,
+    PLANNED_EXIT_STATES,
     InterruptedRun,
     WorkerExit,
     identity_of_request,
@@ -60,7 +60,7 @@
         The reply carries the remaining quarantine time, because the sender would otherwise retry
         the request before quarantine updates from other sidecars reach it.
         """
-        if self._worker.state in LEAVING:
+        if self._worker.state in PLANNED_EXIT_STATES:
             return unknown(Reason.WORKER_LEFT)
         reply = unknown(Reason.WORKER_ENDED)
         identity = identity_of_request(request)
--- a/src/cranklane/sidecar/admission/gate.py
+++ b/src/cranklane/sidecar/admission/gate.py
@@ -30,9 +30,9 @@
 from cranklane.sidecar.request.call_tree import CallTree, Root, Run
 from cranklane.sidecar.worker.condition import WorkerCondition
 from cranklane.sidecar.worker.exchange import WorkerExchange
-from cranklane.sidecar.worker.exit import LEAVING, WorkerExit, WorkerExits
+from cranklane.sidecar.worker.exit import PLANNED_EXIT_STATES, WorkerExit, WorkerExits
 from cranklane.sidecar.worker.registry import WorkerRegistry, WorkerState
-from cranklane.sidecar.worker.slowness import ratio_to
+from cranklane.sidecar.worker.slowness import latency_ratio
 
 
 class GateListener(Protocol):
@@ -96,7 +96,7 @@
         return Reason.NO_MEMBERS
     if state is WorkerState.READY:
         return Reason.NONE
-    return Reason.DRAINING if state in LEAVING else Reason.WORKER_UNREACHABLE
+    return Reason.DRAINING if state in PLANNED_EXIT_STATES else Reason.WORKER_UNREACHABLE
 
 
 class Gate:
@@ -126,7 +126,7 @@
         self._exits = WorkerExits(runtime, registry, self._evidence.worker_exited)
         self._isolated_runs = IsolatedRuns(runtime.monotonic, quarantine)
         self._exchange = (
-            WorkerExchange(runtime, registry.pool, names, registry.other_instance)
+            WorkerExchange(runtime, registry.pool, names, registry.note_unexpected_instance)
             if registry.pool is not None
             else None
         )
@@ -287,7 +287,7 @@
             reply.failure = run.failure
         slowness = None
         if request.expected_latency_us > 0 and run_outcome.measures_latency(reply):
-            slowness = ratio_to(request.expected_latency_us / MICROSECONDS, run_seconds)
+            slowness = latency_ratio(request.expected_latency_us / MICROSECONDS, run_seconds)
         self._condition.run_ended(run_outcome.is_worker_fault(run, reply), slowness)
         starved = reply.downstream_starved or run_outcome.may_be_starved(
             reply, self._call_tree.correlates
--- a/src/cranklane/sidecar/request/attempt.py
+++ b/src/cranklane/sidecar/request/attempt.py
@@ -10,7 +10,7 @@
 from cranklane.records.messages import ForwardRequest
 from cranklane.sidecar.request.call_tree import CallFailure
 from cranklane.sidecar.request.slot_work import SlotWork
-from cranklane.sidecar.worker.condition import WELL, Condition
+from cranklane.sidecar.worker.condition import HEALTHY, Condition
 
 BodyReader = Callable[[], bytes]
 """Returns the next chunk of a request body; empty at its end."""
@@ -61,7 +61,7 @@
     running: int = 0
     queued: int = 0
     slots: int = 0
-    condition: Condition = WELL
+    condition: Condition = HEALTHY
 
 
 @dataclass(slots=True)
@@ -79,7 +79,7 @@
         for lack of capacity.
     :ivar failure: the downstream call that made the run fail, if any.
     :ivar downstream_cost: slot time used by the run's calls; None if unknown.
-    :ivar rest: the remaining chunks of the body; raises AnswerCutError if truncated.
+    :ivar rest: the remaining chunks of the body; raises TruncatedAnswerError if truncated.
     """
 
     outcome: Outcome
--- a/src/cranklane/sidecar/routing/cost.py
+++ b/src/cranklane/sidecar/routing/cost.py
@@ -13,7 +13,7 @@
 import math
 
 from cranklane.sidecar.routing.destination import Destination
-from cranklane.sidecar.worker.slowness import TOLERATED
+from cranklane.sidecar.worker.slowness import TOLERATED_SLOWNESS
 
 CROSS_ZONE_FACTOR = 1.15
 """Cost multiplier for a worker in another zone, for the added latency and traffic charges."""
@@ -66,7 +66,10 @@
     """
     slowness = destination.slowness.at(now)
     reported_condition = destination.condition
-    if reported_condition.is_well:
-        return max(1.0, slowness / TOLERATED)
+    if reported_condition.is_healthy:
+        return max(1.0, slowness / TOLERATED_SLOWNESS)
     decayed = reported_condition.decayed(now - destination.condition_at)
-    return max(1.0, max(slowness, decayed.slowness) / TOLERATED) + ALL_FAULTS_COST * decayed.faults
+    return (
+        max(1.0, max(slowness, decayed.slowness) / TOLERATED_SLOWNESS)
+        + ALL_FAULTS_COST * decayed.faults
+    )
--- a/src/cranklane/sidecar/routing/peer_client.py
+++ b/src/cranklane/sidecar/routing/peer_client.py
@@ -9,9 +9,9 @@
 from collections import deque
 from collections.abc import Callable, Iterator
 
-from cranklane.common.http1.message import MalformedMessageError, MessageCutError
+from cranklane.common.http1.message import MalformedMessageError, TruncatedMessageError
 from cranklane.common.units import MILLISECONDS
-from cranklane.errors import AnswerCutError, ConnectionLostError, MalformedRecordError
+from cranklane.errors import ConnectionLostError, MalformedRecordError, TruncatedAnswerError
 from cranklane.outcome import Outcome, Reason
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import (
@@ -77,7 +77,7 @@
         attempt.when_cancelled(records.close)
         timeout_seconds = attempt.request.deadline_ms / MILLISECONDS
         try:
-            records.set_silent_after(timeout_seconds)
+            records.set_idle_timeout(timeout_seconds)
             records.send(attempt.request)
             answer = self._receive_answer(records, attempt)
         except (ConnectionLostError, MalformedRecordError) as error:
@@ -106,7 +106,7 @@
                 return connection
             connection.records.close()
         stream = self._runtime.connect(address, CONNECT_TIMEOUT_SECONDS)
-        self._runtime.end_when_unheard(stream)
+        self._runtime.enable_ack_timeout(stream)
         records = RecordConnection(stream, CONNECT_TIMEOUT_SECONDS)
         records.queue(self._hello())
         return _Connection(records, stream)
@@ -140,14 +140,14 @@
             while True:
                 _, message = records.receive()
                 if not isinstance(message, ForwardBody):
-                    raise AnswerCutError("the answer was cut at the worker")
+                    raise TruncatedAnswerError("the answer was cut at the worker")
                 if message.data:
                     yield message.data
                 if message.last:
                     whole = True
                     return
         except (ConnectionLostError, MalformedRecordError) as error:
-            raise AnswerCutError(str(error)) from error
+            raise TruncatedAnswerError(str(error)) from error
         finally:
             if whole:
                 self._release(address, connection)
@@ -164,7 +164,7 @@
         except (OSError, ConnectionLostError, MalformedRecordError):
             return None
         try:
-            connection.records.set_silent_after(EXCHANGE_TIMEOUT_SECONDS)
+            connection.records.set_idle_timeout(EXCHANGE_TIMEOUT_SECONDS)
             connection.records.send(update)
             answer = connection.records.expect(QuarantineNews)
         except (ConnectionLostError, MalformedRecordError):
@@ -210,7 +210,7 @@
             records.send(ForwardBody(not chunk, chunk))
             if not chunk:
                 return
-    except (OSError, MessageCutError, MalformedMessageError):
+    except (OSError, TruncatedMessageError, MalformedMessageError):
         # The caller's body is incomplete: close, so that the peer does not treat it as complete.
         records.close()
     except ConnectionLostError:
--- a/src/cranklane/sidecar/routing/peer_server.py
+++ b/src/cranklane/sidecar/routing/peer_server.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from cranklane.errors import AnswerCutError, ConnectionLostError, MalformedRecordError
+from cranklane.errors import ConnectionLostError, MalformedRecordError, TruncatedAnswerError
 from cranklane.outcome import Outcome
 from cranklane.records.connection import RecordConnection
 from cranklane.records.messages import (
@@ -57,7 +57,7 @@
         records = RecordConnection(stream, HELLO_TIMEOUT_SECONDS)
         try:
             records.expect(Hello)
-            records.set_silent_after(IDLE_TIMEOUT_SECONDS)
+            records.set_idle_timeout(IDLE_TIMEOUT_SECONDS)
             while True:
                 self._idle.add(records)
                 _, message = records.receive()
@@ -125,7 +125,7 @@
             for chunk in reply.rest:
                 records.send(ForwardBody(False, chunk))
             last = ForwardBody(True, b"")
-        except AnswerCutError:
+        except TruncatedAnswerError:
             # Not logged here: the client raises the error on receiving ForwardCut.
             last = ForwardCut()
         finally:
