--- a/src/cranklane/node/answer.py
+++ b/src/cranklane/node/answer.py
@@ -62,7 +62,7 @@
 class Answer:
     """Result of a call.
 
-    :ivar body: iterator of chunks that raises AnswerCutError when the body is truncated.
+    :ivar body: iterator of chunks that raises TruncatedAnswerError when the body is truncated.
         Read it to the end or close it.
     :ivar retry_after_ms: milliseconds before a retry of a refused call; 0 for no stated delay.
     :ivar attempts: number of attempts, including the first.
--- a/src/cranklane/node/ledger_client.py
+++ b/src/cranklane/node/ledger_client.py
@@ -67,7 +67,7 @@
     def __init__(self, runtime: Runtime, address: Address, hello: Hello) -> None:
         connection = runtime.connect(address, CONNECT_TIMEOUT_SECONDS)
         self.records = RecordConnection(connection, IDLE_TIMEOUT_SECONDS)
-        self.records.greet(hello)
+        self.records.handshake(hello)
         self._answers: dict[int, AsyncResult] = {}
         self._next_call = 0
         runtime.spawn(self._read)
--- a/src/cranklane/node/peer_call.py
+++ b/src/cranklane/node/peer_call.py
@@ -13,7 +13,7 @@
 import gevent
 from gevent.queue import SimpleQueue
 
-from cranklane.errors import AnswerCutError, ConnectionLostError
+from cranklane.errors import ConnectionLostError, TruncatedAnswerError
 from cranklane.outcome import Reason
 from cranklane.records.messages import (
     AnswerAbort,
@@ -102,7 +102,7 @@
         """Yield the chunks of the answer's body, checking its order, length and checksum.
 
         :param stall_timeout: seconds to wait for each chunk.
-        :raises AnswerCutError: when the body is truncated or malformed.
+        :raises TruncatedAnswerError: when the body is truncated or malformed.
         """
         sequence = length = checksum = uncredited = 0
         while True:
@@ -110,14 +110,16 @@
             if isinstance(record, AnswerEnd):
                 self._finish(record.allowance)
                 if (record.length, record.checksum) != (length, checksum):
-                    raise AnswerCutError("the body does not match its length and checksum")
+                    raise TruncatedAnswerError("the body does not match its length and checksum")
                 return
             if isinstance(record, AnswerAbort):
                 self._finish(record.allowance)
-                raise AnswerCutError(Reason(record.reason).label)
+                raise TruncatedAnswerError(Reason(record.reason).label)
             if not isinstance(record, AnswerBody) or record.sequence != sequence:
                 self.cancel(Reason.ANSWER_CUT)
-                raise AnswerCutError("chunks of the body are missing, duplicated or out of order")
+                raise TruncatedAnswerError(
+                    "chunks of the body are missing, duplicated or out of order"
+                )
             sequence += 1
             length += len(record.data)
             checksum = zlib.crc32(record.data, checksum)
@@ -133,9 +135,9 @@
                 received = self._inbox.get()
         except gevent.Timeout as error:
             self.cancel(Reason.ANSWER_CUT)
-            raise AnswerCutError("no chunk of the body arrived in time") from error
+            raise TruncatedAnswerError("no chunk of the body arrived in time") from error
         if isinstance(received, Exception):
-            raise AnswerCutError(str(received)) from received
+            raise TruncatedAnswerError(str(received)) from received
         return received
 
     def _finish(self, allowance: int) -> None:
--- a/src/cranklane_lab/scenarios/mechanisms.py
+++ b/src/cranklane_lab/scenarios/mechanisms.py
@@ -203,7 +203,7 @@
 
 
 def _no_request_memory() -> list[Replacement]:
-    return [Replacement(ConfigurationStore, "answered", lambda _self, *_request: None)]
+    return [Replacement(ConfigurationStore, "earlier_answer", lambda _self, *_request: None)]
 
 
 def _identity_by_name() -> list[Replacement]:
--- a/src/cranklane_lab/simulation/network.py
+++ b/src/cranklane_lab/simulation/network.py
@@ -156,7 +156,7 @@
         self._network.deliver_later(self, self.peer, self.peer.end)
 
     @property
-    def hung_up(self) -> bool:
+    def closed_by_peer(self) -> bool:
         """Whether the connection is closed, ended by the peer or broken."""
         return self.closed or self.ended or self.broken is not None
 
--- a/src/cranklane_lab/simulation/process.py
+++ b/src/cranklane_lab/simulation/process.py
@@ -102,16 +102,16 @@
         """Accept simulated connections."""
         return self._network.listen(self, address, handler, shared)
 
-    def hung_up(self, connections: Iterable[Any]) -> list[Any]:
+    def closed_by_peer(self, connections: Iterable[Any]) -> list[Any]:
         """Return the connections that the peer has closed or that are broken."""
-        return [connection for connection in connections if connection.hung_up]
+        return [connection for connection in connections if connection.closed_by_peer]
 
-    def end_when_unheard(self, connection: Any) -> None:
+    def enable_ack_timeout(self, connection: Any) -> None:
         """Do nothing: simulated connections have no acknowledgement timeout."""
 
     def has_input(self, connection: Any) -> bool:
         """Return whether a read would not block: bytes, end of stream or an error."""
-        return bool(connection.received) or connection.hung_up
+        return bool(connection.received) or connection.closed_by_peer
 
     def storage(self, folder: str) -> Storage:
         """Return the storage of a folder on the machine's disk."""
