--- a/src/cranklane/distribution/member_exchange.py
+++ b/src/cranklane/distribution/member_exchange.py
@@ -92,7 +92,7 @@
         position = usage_position = 0
         reported_at = -math.inf
         try:
-            records.greet(self._hello())
+            records.handshake(self._hello())
             while self._is_member(address):
                 wakeup.clear()
                 report, position = self._membership.report_since(position)
@@ -111,7 +111,7 @@
 
     def serve(self, records: RecordConnection, first: MemberReport) -> None:
         """Receive the reports of another control process until its connection closes."""
-        records.set_silent_after(SILENT_SECONDS)
+        records.set_idle_timeout(SILENT_SECONDS)
         self._membership.apply_report(first)
         try:
             while True:
--- a/src/cranklane/node/answer_stream.py
+++ b/src/cranklane/node/answer_stream.py
@@ -9,9 +9,9 @@
 import zlib
 from collections.abc import Iterable
 
-from cranklane.common.headers import HOP_BY_HOP, is_own
+from cranklane.common.headers import HOP_BY_HOP, is_reserved_header
 from cranklane.common.http_client import HttpResponse
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.node.inbound_call import InboundCall
 from cranklane.node.metrics import NodeMetrics
 from cranklane.outcome import Reason
@@ -27,7 +27,7 @@
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in HOP_BY_HOP and not is_own(name)
+        if name.lower() not in HOP_BY_HOP and not is_reserved_header(name)
     ]
 
 
@@ -65,7 +65,7 @@
             sequence += 1
             length += len(data)
             checksum = zlib.crc32(data, checksum)
-    except AnswerCutError:
+    except TruncatedAnswerError:
         metrics.event("answer_cut")
         call.send(AnswerAbort(Reason.ANSWER_CUT, call.context.allowance.remaining))
         return
--- a/src/cranklane/node/caller_request.py
+++ b/src/cranklane/node/caller_request.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from cranklane.common import headers
-from cranklane.common.headers import HOP_BY_HOP, is_own
+from cranklane.common.headers import HOP_BY_HOP, is_reserved_header
 from cranklane.node.answer import Request
 from cranklane.outcome import Reason
 
@@ -56,7 +56,7 @@
     return [
         (name.title(), value)
         for name, value in request.headers.items()
-        if name.lower() not in _DROPPED_HEADERS and not is_own(name)
+        if name.lower() not in _DROPPED_HEADERS and not is_reserved_header(name)
     ]
 
 
--- a/src/cranklane/node/inbound_call.py
+++ b/src/cranklane/node/inbound_call.py
@@ -4,7 +4,7 @@
 
 from gevent.event import Event
 
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 from cranklane.node.context import CallContext
 from cranklane.outcome import Reason
 from cranklane.records.connection import RecordConnection
@@ -63,12 +63,12 @@
     def wait_for_window(self, size: int) -> None:
         """Wait until the window is open and take ``size`` bytes from it; it may become negative.
 
-        :raises AnswerCutError: when no credit arrives in time or the caller is gone.
+        :raises TruncatedAnswerError: when no credit arrives in time or the caller is gone.
         """
         while self._window <= 0:
             self._credited.clear()
             if not self._credited.wait(CREDIT_TIMEOUT_SECONDS):
-                raise AnswerCutError("no flow-control credit from the caller in time")
+                raise TruncatedAnswerError("no flow-control credit from the caller in time")
             if self._caller_gone:
-                raise AnswerCutError("the caller cancelled the call or disconnected")
+                raise TruncatedAnswerError("the caller cancelled the call or disconnected")
         self._window -= size
--- a/src/cranklane/node/peer_connection.py
+++ b/src/cranklane/node/peer_connection.py
@@ -13,7 +13,7 @@
 
 from cranklane.errors import ConnectionLostError, MalformedRecordError
 from cranklane.node.peer_call import PeerCall
-from cranklane.records.connection import CONNECTION_CALL, RecordConnection, SilenceWatch
+from cranklane.records.connection import CONNECTION_CALL, IdleMonitor, RecordConnection
 from cranklane.records.messages import (
     CallOpen,
     GoingAway,
@@ -49,8 +49,8 @@
         connection = runtime.connect(address, connect_timeout)
         self._runtime = runtime
         self._records = RecordConnection(connection, SILENT_SECONDS)
-        self.peer = self._records.greet(hello)
-        self._records.set_silent_after(None)
+        self.peer = self._records.handshake(hello)
+        self._records.set_idle_timeout(None)
         self._calls: dict[int, PeerCall] = {}
         self._next_number = CONNECTION_CALL
         self._on_load = on_load
@@ -122,11 +122,11 @@
             call.deliver(ConnectionLostError(str(error)))
 
     def _ping(self) -> None:
-        watch = SilenceWatch(self._records, SILENT_SECONDS, self._runtime.monotonic())
+        watch = IdleMonitor(self._records, SILENT_SECONDS, self._runtime.monotonic())
         while not self._records.closed:
             self.send_quietly(Ping(self._version()), CONNECTION_CALL)
             gevent.sleep(PING_SECONDS)
-            watch.look(self._runtime.monotonic())
+            watch.close_if_idle(self._runtime.monotonic())
 
     def close(self) -> None:
         """Close the connection, which fails its calls with ConnectionLostError."""
--- a/src/cranklane/sidecar/admission/streamed_answer.py
+++ b/src/cranklane/sidecar/admission/streamed_answer.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Callable, Iterator
 
-from cranklane.errors import AnswerCutError
+from cranklane.errors import TruncatedAnswerError
 
 
 class StreamedAnswer:
@@ -15,7 +15,7 @@
 
     A generator is unsuitable, because closing one that was never started skips its cleanup.
 
-    :param chunks: generator of the chunks; raises AnswerCutError on a truncated response.
+    :param chunks: generator of the chunks; raises TruncatedAnswerError on a truncated response.
     :param on_end: called once: after the last chunk, on an error or by :meth:`close`.
     :param on_truncated: called before ``on_end`` if the response is truncated.
     :param on_complete: called before ``on_end`` if the response is complete.
@@ -40,7 +40,7 @@
     def __next__(self) -> bytes:
         """Return the next chunk.
 
-        :raises AnswerCutError: the response ended too early.
+        :raises TruncatedAnswerError: the response ended too early.
         """
         try:
             return next(self._chunks)
@@ -48,7 +48,7 @@
             self._on_complete()
             self.close()
             raise
-        except AnswerCutError:
+        except TruncatedAnswerError:
             self._on_truncated()
             self.close()
             raise
--- a/src/cranklane/sidecar/routing/destination.py
+++ b/src/cranklane/sidecar/routing/destination.py
@@ -12,7 +12,7 @@
 from cranklane.runtime.interface import Address
 from cranklane.sidecar.request.attempt import Load
 from cranklane.sidecar.routing.ejection import Failure, ejection_seconds
-from cranklane.sidecar.worker.condition import WELL, Condition
+from cranklane.sidecar.worker.condition import HEALTHY, Condition
 from cranklane.sidecar.worker.slowness import Slowness
 
 SATURATED_SECONDS = 0.02
@@ -58,9 +58,9 @@
     reported_requests: int = 0
     sent_since_report: int = 0
     in_flight: int = 0
-    condition: Condition = WELL
+    condition: Condition = HEALTHY
     condition_at: float = 0.0
-    control_condition: Condition = WELL
+    control_condition: Condition = HEALTHY
     slowness: Slowness = field(default_factory=Slowness)
     consecutive_failures: int = 0
     ejected_until: float = 0.0
--- a/src/cranklane_lab/evidence/trial.py
+++ b/src/cranklane_lab/evidence/trial.py
@@ -21,7 +21,7 @@
 from cranklane.sidecar.routing.destinations import Destinations
 from cranklane.sidecar.routing.worker_choice import WorkerChoice
 from cranklane.sidecar.worker.condition import Condition, WorkerCondition
-from cranklane.sidecar.worker.slowness import ExpectedLatencies, ratio_to
+from cranklane.sidecar.worker.slowness import ExpectedLatencies, latency_ratio
 
 SERVICE = "service"
 ROUTE = "route"
@@ -259,7 +259,8 @@
         worker.running -= 1
         has_expected_latency = request.expected_seconds > 0 and not failed
         worker.condition.run_ended(
-            failed, ratio_to(request.expected_seconds, seconds) if has_expected_latency else None
+            failed,
+            latency_ratio(request.expected_seconds, seconds) if has_expected_latency else None,
         )
         if worker.queue:
             self._run(worker, worker.queue.pop(0))
--- a/tests/test_crashing_requests_seeds.py
+++ b/tests/test_crashing_requests_seeds.py
@@ -88,7 +88,7 @@
         served = callers.join()
         crash_counts, late_runs = [], []
         for path in paths:
-            crash_times = [crash.at for crash in crashing.ends_under(path.encode())]
+            crash_times = [crash.at for crash in crashing.crashes_caused_by(path.encode())]
             crash_counts.append(len(crash_times))
             propagated_at = (
                 crash_times[2] + PROPAGATION_SECONDS if len(crash_times) > 2 else float("inf")
--- a/tests/test_quarantine_operators.py
+++ b/tests/test_quarantine_operators.py
@@ -16,7 +16,7 @@
 from cranklane_lab.standins.raw_http import exchange
 from mesh_support import play
 from test_crashing_requests import CRASH, FLEET
-from test_story import explained
+from test_request_timeline import explain_request
 
 TOKEN = "an-operator"
 DIGEST = secret_digest(TOKEN.encode())
@@ -83,7 +83,7 @@
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
         assert mesh.wait_for(lambda: len(crashing.crashes) == 2, 2.0)
-        crashing.mend()
+        crashing.stop_crashing()
         gevent.sleep(4.0)
         for machine in mesh.machines:
             machine.sidecar.settings.operator_digest = secret_digest(TOKEN.encode())
@@ -111,7 +111,7 @@
         gevent.sleep(0.1)
         assert mesh.request(mesh.machines[6], CRASH, name="held-one").status == 503
 
-    explanation = explained(script, tmp_path, "held-one", **FLEET)
+    explanation = explain_request(script, tmp_path, "held-one", **FLEET)
     assert "quarantine_refusal service=s identity=" in explanation
     assert "cause: workers that ran this very request before have ended" in explanation
     assert "it was not run" in explanation
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -22,8 +22,8 @@
 from cranklane.sidecar.routing.destinations import Destinations
 from cranklane.sidecar.routing.ejection import EJECTION_SECONDS_PER_FAILURE, Failure
 from cranklane.sidecar.routing.worker_choice import WorkerChoice
-from cranklane.sidecar.worker.condition import WELL, Condition
-from cranklane.sidecar.worker.slowness import TOLERATED
+from cranklane.sidecar.worker.condition import HEALTHY, Condition
+from cranklane.sidecar.worker.slowness import TOLERATED_SLOWNESS
 
 SLOTS = 10
 NODES = ("a", "b", "c")
@@ -179,10 +179,10 @@
 @pytest.mark.parametrize(
     ("reported_condition", "factor"),
     [
-        (WELL, 1.0),
-        (Condition(0.0, 3 * TOLERATED), 3.0),
+        (HEALTHY, 1.0),
+        (Condition(0.0, 3 * TOLERATED_SLOWNESS), 3.0),
         (Condition(1.0, 1.0), 1.0 + ALL_FAULTS_COST),
-        (Condition(0.5, 3 * TOLERATED), 3.0 + ALL_FAULTS_COST / 2),
+        (Condition(0.5, 3 * TOLERATED_SLOWNESS), 3.0 + ALL_FAULTS_COST / 2),
     ],
 )
 def test_a_worker_in_bad_condition_has_a_higher_cost(reported_condition, factor):
@@ -194,8 +194,8 @@
 def test_the_larger_of_reported_and_observed_slowness_counts():
     sidecar = LocalSidecar()
     for _ in range(60):
-        sidecar["a"].slowness.sample(sidecar.clock.now, 4 * TOLERATED)
-    sidecar["a"].update_condition(sidecar.clock.now, Condition(0.0, 2 * TOLERATED))
+        sidecar["a"].slowness.sample(sidecar.clock.now, 4 * TOLERATED_SLOWNESS)
+    sidecar["a"].update_condition(sidecar.clock.now, Condition(0.0, 2 * TOLERATED_SLOWNESS))
     assert condition_factor(sidecar["a"], sidecar.clock.now) == pytest.approx(4.0, rel=0.01)
 
 
@@ -205,5 +205,5 @@
     sidecar["a"].update_control_condition(50.0, sick)
     sidecar["a"].update_control_condition(60.0, replace(sick))
     assert sidecar["a"].condition_at == 50.0
-    sidecar["a"].update_control_condition(70.0, WELL)
+    sidecar["a"].update_control_condition(70.0, HEALTHY)
     assert sidecar["a"].condition_at == 70.0
