--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -42,7 +42,7 @@
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         routes = {name: {**route, "objective_ms": objective_ms} for name, route in ROUTES.items()}
         table = route_table(1, 0, routes, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         top.worker.state.seconds = ROOT_SECONDS
         deep.worker.state.seconds = DEEP_SECONDS
@@ -127,7 +127,7 @@
         deep = mesh.add_machine("deep", deep_slots)
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         table = route_table(1, 0, ROUTES, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         top.worker.state.seconds = 0.05
         top.worker.state.status = 500
@@ -167,7 +167,7 @@
         deep = [mesh.add_machine("deep") for _ in range(2)]
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         table = route_table(1, 0, ROUTES, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         first.worker.state.fail = int(run_is_retried)
         second.worker.state.seconds = 1.0
@@ -197,7 +197,7 @@
         mesh.add_machine("deep", 0)
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
         table = route_table(1, 0, ROUTES, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         for top in tops:
             top.worker.state.seconds = 1.0
@@ -235,7 +235,7 @@
         }
         look = {**ROUTES["look"], "objective_ms": 300}
         table = route_table(1, 0, {**ROUTES, "view": view, "look": look}, ("top", "deep"))
-        assert mesh.wait_for(lambda: mesh.operate(table).status == 200, 5)
+        assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         top.worker.state.seconds = ROOT_SECONDS
         deep.worker.state.seconds = WAIT_SECONDS
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -64,7 +64,7 @@
         callers = Callers(mesh)
         send_repeatedly(mesh)
         served = callers.join()
-        return len(crashing.ends_under(b"/crash")), served
+        return len(crashing.crashes_caused_by(b"/crash")), served
 
     crash_count, served = play(script, **FLEET)
     assert crash_count <= 3
@@ -222,7 +222,9 @@
         ]
         gevent.joinall(tasks)
         callers.join()
-        crash_counts = [len(crashing.ends_under(b"/crash/%d" % number)) for number in range(4)]
+        crash_counts = [
+            len(crashing.crashes_caused_by(b"/crash/%d" % number)) for number in range(4)
+        ]
         return max(crash_counts)
 
     assert play(script, services=("s",) * 12 + ("t",) * 2, slots=16) <= 3
@@ -238,7 +240,12 @@
         answer = mesh.request(mesh.machines[6], CRASH, name="refused")
         seconds = mesh.world.loop.now() - sent_at
         retry_after = float(answer.headers["retry-after"])
-        return answer.status, 4.0 < retry_after <= 5.0, seconds < 0.005, mesh.run_of("refused")
+        return (
+            answer.status,
+            4.0 < retry_after <= 5.0,
+            seconds < 0.005,
+            mesh.instances_that_ran("refused"),
+        )
 
     assert play(script, **FLEET) == (503, True, True, [])
 
@@ -248,7 +255,7 @@
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
         assert mesh.wait_for(lambda: len(crashing.crashes) == 2, 2.0)
-        crashing.mend()
+        crashing.stop_crashing()
         gevent.sleep(6.0)
         first = mesh.request(mesh.machines[6], CRASH).status
         gevent.sleep(0.1)
--- a/tests/test_quarantine_mechanisms.py
+++ b/tests/test_quarantine_mechanisms.py
@@ -54,7 +54,7 @@
     crashing = CrashingRequests(mesh)
     tasks = [gevent.spawn(send_repeatedly, mesh, f"/read/crash/{n}", 12, 0.9) for n in range(4)]
     gevent.joinall(tasks)
-    return max(len(crashing.ends_under(b"/crash/%d" % n)) for n in range(4))
+    return max(len(crashing.crashes_caused_by(b"/crash/%d" % n)) for n in range(4))
 
 
 LARGE_FLEET = {"services": ("s",) * 12 + ("t",) * 2, "slots": 16}
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -57,7 +57,9 @@
         for service in services:
             mesh.add_machine(service)
         assert mesh.wait_for(lambda: mesh.voters() == 3, 10)
-        assert mesh.wait_for(lambda: mesh.operate(table(tenants=tenants)).status == 200, 5)
+        assert mesh.wait_for(
+            lambda: mesh.apply_route_table(table(tenants=tenants)).status == 200, 5
+        )
         gevent.sleep(2.0)
         result = script(mesh)
         assert not world.loop.task_errors
@@ -128,7 +130,7 @@
         for machine in mesh.machines[:2]:
             machine.worker.state.work = work if machine is root_machine else None
         mesh.machines[1].worker.phase = "draining"
-        mesh.machines[1].worker.beat()
+        mesh.machines[1].worker.send_heartbeat()
         gevent.sleep(0.5)
         answer = ask(mesh, "key-of-clinic", name="root")
         return answer.status, mesh.machines[2].worker.state.runs[0].value(NAMES.tenant)
@@ -226,7 +228,7 @@
 
 def remove_tenant_shop(mesh):
     without = {name: value for name, value in TENANTS.items() if name != "shop"}
-    assert mesh.wait_for(lambda: mesh.operate(table(2, 1, without)).status == 200, 5)
+    assert mesh.wait_for(lambda: mesh.apply_route_table(table(2, 1, without)).status == 200, 5)
 
 
 def cut_off(mesh, machine):
@@ -289,7 +291,7 @@
 
         def acknowledged():
             answers = [
-                mesh.operate(table(2, 1, without), number)
+                mesh.apply_route_table(table(2, 1, without), number)
                 for number, controller in enumerate(mesh.controllers)
                 if controller.process.name != leader
             ]
