--- a/src/cranklane/controller/confirmation.py
+++ b/src/cranklane/controller/confirmation.py
@@ -2,7 +2,7 @@
 
 A leader's state is current while it holds its lease. A follower asks the leader for its commit
 index; once the follower has applied that index, its state is as recent as the request. The age
-is counted from the request, because entries may be committed while the response is under way.
+is counted from the request, because entries may be committed while the response is in flight.
 Owns the latest responses; log and leadership belong to the replica.
 """
 
@@ -20,7 +20,7 @@
 """Interval of a follower's requests to the leader. Adds to the age of a follower's state; below
 the heartbeat interval of sidecars (0.5 s)."""
 
-REPLY_SECONDS = 0.5
+REPLY_TIMEOUT_SECONDS = 0.5
 """Timeout of a request to the leader."""
 
 
@@ -57,7 +57,7 @@
             return
         asked_at = self._clock()
         request = ConfirmRequest(self._replica.term)
-        reply = self._replica.link(leader).call(request, ConfirmReply, REPLY_SECONDS)
+        reply = self._replica.link(leader).call(request, ConfirmReply, REPLY_TIMEOUT_SECONDS)
         if reply is not None and reply.leads:
             self._latest_confirmation = _ConfirmedIndex(asked_at, reply.commit)
 
--- a/src/cranklane/ledger/process.py
+++ b/src/cranklane/ledger/process.py
@@ -6,9 +6,9 @@
 
 from cranklane.common.logs import logger
 from cranklane.common.units import MILLISECONDS
-from cranklane.distribution.follower import Follower
 from cranklane.distribution.member_state import MemberState
 from cranklane.distribution.subscription import Subscription
+from cranklane.distribution.subscription_callbacks import SubscriptionCallbacks
 from cranklane.ledger.service import LedgerService
 from cranklane.ledger.store import LedgerStore
 from cranklane.policy.adopted_policy import AdoptedPolicy
@@ -31,7 +31,7 @@
     setting,
 )
 
-SILENT_SECONDS = 10.0
+IDLE_TIMEOUT_SECONDS = 10.0
 """Seconds without a byte after which a connection from a node or replica counts as lost. Longer
 than a node keeps an idle connection (cranklane.node.ledger_client.IDLE_TIMEOUT_SECONDS)."""
 
@@ -77,10 +77,10 @@
         changes = MembershipChange(self.replica)
         self.service = LedgerService(runtime, self.replica)
         peers = PeerService(self.replica, changes.join)
-        self._port = PortDispatcher(peers, self._hello, self.service.serve, SILENT_SECONDS)
+        self._port = PortDispatcher(peers, self._hello, self.service.serve, IDLE_TIMEOUT_SECONDS)
 
     def start(self) -> None:
-        """Restore the stored state, open the port, join the group and subscribe to control."""
+        """Load the stored state, open the port, join the group and subscribe to control."""
         settings = self.settings
         self.replica.open()
         self._listener = self.runtime.listen(parse_address(settings.listen), self._port.accept)
@@ -114,7 +114,7 @@
             identity,
             AdoptedPolicy(),
             self.runtime.storage(f"{settings.data}/{_SUBSCRIPTION_FOLDER}"),
-            Follower(lambda: Heartbeat(state=MemberState.LIVE)),
+            SubscriptionCallbacks(lambda: Heartbeat(state=MemberState.LIVE)),
             self._log,
         )
 
--- a/src/cranklane/records/messages.py
+++ b/src/cranklane/records/messages.py
@@ -82,7 +82,7 @@
 
 
 class Ping(Record):
-    """Liveness probe on an idle connection; requests a LoadReport."""
+    """Liveness probe of a connection; a node replies with a LoadReport."""
 
     KIND: ClassVar[int] = 2
     LAYOUT: ClassVar[Struct] = Struct("!Q")
@@ -1558,7 +1558,7 @@
 
 
 class TenantRow(Record):
-    """Compiled tenant with its share and the hashes of its tokens."""
+    """Compiled tenant with its share and the digests of its tokens."""
 
     KIND: ClassVar[int] = 40
     LAYOUT: ClassVar[Struct] = Struct("!IHI")
@@ -2352,7 +2352,7 @@
 
 
 class JoinRequest(Record):
-    """Request of a replica with an empty data folder to join its group."""
+    """Request of a replica to join its group, also after its removal."""
 
     KIND: ClassVar[int] = 74
     LAYOUT: ClassVar[Struct] = Struct("!Q?HHH")
@@ -2546,7 +2546,7 @@
 
 
 class Document(Record):
-    """A document of the settings tree."""
+    """A policy document."""
 
     KIND: ClassVar[int] = 61
     LAYOUT: ClassVar[Struct] = Struct("!QHI")
--- a/src/cranklane/records/schema.py
+++ b/src/cranklane/records/schema.py
@@ -39,7 +39,7 @@
     Record(
         2,
         "Ping",
-        "Liveness probe on an idle connection; requests a LoadReport.",
+        "Liveness probe of a connection; a node replies with a LoadReport.",
         "version:u64",
     ),
     Record(
@@ -231,7 +231,7 @@
     Record(
         40,
         "TenantRow",
-        "Compiled tenant with its share and the hashes of its tokens.",
+        "Compiled tenant with its share and the digests of its tokens.",
         "share:u32 name:str tokens:strings",
     ),
     Record(
@@ -333,7 +333,7 @@
     Record(
         74,
         "JoinRequest",
-        "Request of a replica with an empty data folder to join its group.",
+        "Request of a replica to join its group, also after its removal.",
         "identity:u64 voter:bool name:str address:str http:str",
     ),
     Record(
@@ -351,7 +351,7 @@
         "base:u64 compiled_at:u64 when:f64 document:str operator:str request:str text:text "
         "rows:[ConfigRow]",
     ),
-    Record(61, "Document", "A document of the settings tree.", "version:u64 name:str text:text"),
+    Record(61, "Document", "A policy document.", "version:u64 name:str text:text"),
     Record(
         62,
         "HistoryEntry",
--- a/src/cranklane/replication/group_bootstrap.py
+++ b/src/cranklane/replication/group_bootstrap.py
@@ -17,10 +17,10 @@
 from cranklane.replication.membership_change import JoinStatus
 from cranklane.replication.replica import Replica
 
-RETRY_SECONDS = 0.25
+RETRY_DELAY_SECONDS = 0.25
 """Mean delay between rounds of join requests; delays vary randomly by up to half of it."""
 
-REPLY_SECONDS = 2.0
+REPLY_TIMEOUT_SECONDS = 2.0
 """Timeout of a join request; bounds the delay by an unreachable machine."""
 
 LEADER_CONTACT_TIMEOUT_SECONDS = 2.5
@@ -52,7 +52,7 @@
         while True:
             if not self._is_connected_member():
                 self._send_join_requests()
-            gevent.sleep(RETRY_SECONDS * (0.5 + replica.runtime.random.random()))
+            gevent.sleep(RETRY_DELAY_SECONDS * (0.5 + replica.runtime.random.random()))
 
     def _is_founder(self) -> bool:
         """Return whether this replica founds the group.
@@ -86,7 +86,7 @@
             if address in tried_addresses:
                 continue
             tried_addresses.add(address)
-            reply = send_join_request(replica, address, voter=True, timeout=REPLY_SECONDS)
+            reply = send_join_request(replica, address, voter=True, timeout=REPLY_TIMEOUT_SECONDS)
             if reply is None:
                 continue
             if reply.status == JoinStatus.NOT_LEADER and reply.leader:
--- a/src/cranklane/replication/replica.py
+++ b/src/cranklane/replication/replica.py
@@ -96,7 +96,7 @@
     def found_group(self) -> None:
         """Create a group with this replica as its only member.
 
-        The data folder must be empty or contain only a restored back-up.
+        The data folder must be empty or contain only a restored backup.
 
         :raises OSError: when a write fails.
         """
@@ -200,7 +200,7 @@
             self._handle_disk_failure(error)
 
     def begin_term(self) -> bool:
-        """Start a new term with a vote for itself; return False when it is already leader.
+        """Start a new term with a vote for this replica; return False if it already leads.
 
         The check under the lock keeps a leader's term equal to that of its leadership.
 
--- a/src/cranklane/runtime/real.py
+++ b/src/cranklane/runtime/real.py
@@ -28,7 +28,7 @@
 _ACK_TIMEOUT_MS = 1500
 """Time for which sent data may stay unacknowledged before the connection fails.
 
-Allows several retransmissions, but is shorter than a follower's wait for its controller.
+Allows several retransmissions, but is shorter than a sidecar's idle timeout for its controller.
 """
 
 _DISCONNECTED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
@@ -55,7 +55,7 @@
         self._handler(connection, address)
 
     def close(self) -> None:
-        """Stop accepting; connections already accepted go on."""
+        """Stop accepting; accepted connections stay open."""
         # StreamServer.stop would also stop the handlers of open connections.
         self._server.stop_accepting()
         self._server.socket.close()
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -36,7 +36,7 @@
 def put(mesh, version, base):
     """Send a table until the response has a status below 500; return the status."""
     for _ in range(60):
-        answer = mesh.operate(table(version, base))
+        answer = mesh.apply_route_table(table(version, base))
         if answer is not None and answer.status < 500:
             return answer.status
         gevent.sleep(0.2)
@@ -45,11 +45,11 @@
 
 def read_version(mesh, seconds=20):
     def read():
-        answer = mesh.describe()
+        answer = mesh.read_route_table()
         return answer is not None and answer.status == 200
 
     assert mesh.wait_for(read, seconds)
-    return json.loads(mesh.describe().body)["version"]
+    return json.loads(mesh.read_route_table().body)["version"]
 
 
 @pytest.mark.parametrize("seed", range(1, 6))
@@ -76,7 +76,7 @@
         statuses = []
 
         def send(version):
-            statuses.append(mesh.operate(table(version, 1)).status)
+            statuses.append(mesh.apply_route_table(table(version, 1)).status)
 
         gevent.joinall([gevent.spawn(send, version) for version in (2, 3)])
         return sorted(statuses)
@@ -104,8 +104,8 @@
 def test_an_invalid_table_changes_nothing(change):
     def script(mesh):
         assert put(mesh, 1, 0) == 200
-        status = mesh.operate(table(2, 1, change["routes"])).status
-        truncated = mesh.operate(json.dumps(table(2, 1)).encode()[:-9]).status
+        status = mesh.apply_route_table(table(2, 1, change["routes"])).status
+        truncated = mesh.apply_route_table(json.dumps(table(2, 1)).encode()[:-9]).status
         return status, truncated, read_version(mesh)
 
     assert play(script) == (400, 400, 1)
@@ -115,7 +115,9 @@
     def script(mesh):
         leader = mesh.leader().number
         follower = (leader + 1) % 5
-        return mesh.operate(table(1, 0), follower).status, mesh.describe(follower).status
+        return mesh.apply_route_table(table(1, 0), follower).status, mesh.read_route_table(
+            follower
+        ).status
 
     assert play(script) == (200, 200)
 
--- a/tests/test_quarantine_operators.py
+++ b/tests/test_quarantine_operators.py
@@ -83,7 +83,7 @@
         crashing = CrashingRequests(mesh)
         mesh.request(mesh.machines[0], CRASH)
         assert mesh.wait_for(lambda: len(crashing.crashes) == 2, 2.0)
-        crashing.mend()
+        crashing.stop_crashing()
         gevent.sleep(4.0)
         for machine in mesh.machines:
             machine.sidecar.settings.operator_digest = secret_digest(TOKEN.encode())
--- a/tests/test_request_timeline.py
+++ b/tests/test_request_timeline.py
@@ -14,7 +14,7 @@
 from cranklane.common.logs import set_log_sink
 from cranklane.common.rate_limit import RateLimit
 from cranklane_lab.simulate import quiet
-from mesh_support import each_worker, play
+from mesh_support import configure_workers, play
 
 
 @contextmanager
@@ -41,7 +41,7 @@
 
 def test_cause_of_a_refused_request_is_the_full_queue(tmp_path):
     def script(mesh):
-        each_worker(mesh, seconds=3.0)
+        configure_workers(mesh, seconds=3.0)
         for _ in range(8):
             gevent.spawn(mesh.request, mesh.machines[0], "/read/x")
         gevent.sleep(0.2)
@@ -57,7 +57,7 @@
 
 def test_cause_of_an_unknown_outcome_is_the_lost_connection_to_the_worker(tmp_path):
     def script(mesh):
-        each_worker(mesh, lose_answers=9)
+        configure_workers(mesh, lose_answers=9)
         answer = mesh.request(mesh.machines[2], "/sign/x", "POST", b"b", name="unknown-one")
         assert answer.status == 502
 
@@ -69,7 +69,7 @@
 
 def test_cause_of_a_late_response_is_the_longest_delay(tmp_path):
     def script(mesh):
-        each_worker(mesh, seconds=1.3)
+        configure_workers(mesh, seconds=1.3)
         assert mesh.request(mesh.machines[2], "/read/x", name="late-one").status == 200
 
     output = explain_request(script, tmp_path, "late-one")
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -191,7 +191,7 @@
     def script(mesh):
         machine = mesh.add_machine("t", beats=False)
         gevent.sleep(phase)
-        machine.worker_process.spawn(machine.worker.beat_on)
+        machine.worker_process.spawn(machine.worker.send_heartbeats)
         gevent.sleep(3.0 - phase)
         suspend(machine)
         gevent.sleep(SUSPENSION_SECONDS + 0.05)
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -23,7 +23,7 @@
 
 LARGE = Shape(callers=195, workers=93, slots=14, work_seconds=0.16, load=0.08, seconds=8.0)
 SMALL = Shape(callers=17, workers=5, slots=44, work_seconds=0.16, load=0.08)
-FAILING = replace(LARGE, slower=1.0, failing=0.45)
+FAILING = replace(LARGE, slowdown_factor=1.0, failed_run_fraction=0.45)
 
 
 class Clock:
@@ -42,32 +42,34 @@
 
 @pytest.mark.parametrize("shape", [LARGE, SMALL], ids=["large", "small"])
 def test_few_requests_go_to_slow_workers_at_any_number_of_callers(shape):
-    assert Trial(shape, 1).play().sick_share < 0.036
+    assert Trial(shape, 1).play().unhealthy_share < 0.036
 
 
 def test_without_reports_slow_workers_get_more_requests():
-    reported_share = Trial(LARGE, 1).play().sick_share
-    assert Trial(replace(LARGE, told=False), 1).play().sick_share > 2 * reported_share
+    reported_share = Trial(LARGE, 1).play().unhealthy_share
+    assert (
+        Trial(replace(LARGE, shared_reports=False), 1).play().unhealthy_share > 2 * reported_share
+    )
 
 
 def test_few_requests_go_to_workers_that_fail():
     with_reports = Trial(FAILING, 1).play()
-    without_reports = Trial(replace(FAILING, told=False), 1).play()
-    assert with_reports.sick_share < 0.02
-    assert without_reports.sick_share > 0.1
+    without_reports = Trial(replace(FAILING, shared_reports=False), 1).play()
+    assert with_reports.unhealthy_share < 0.02
+    assert without_reports.unhealthy_share > 0.1
 
 
 def test_a_healthy_service_causes_almost_no_reports():
-    outcome = Trial(replace(LARGE, sick_part=0.0), 1).play()
-    assert outcome.told < 0.01 * len(outcome.seconds)
+    outcome = Trial(replace(LARGE, unhealthy_fraction=0.0), 1).play()
+    assert outcome.shared_reports < 0.01 * len(outcome.seconds)
 
 
 def test_a_service_with_half_of_its_workers_slow_refuses_nothing():
-    half = replace(LARGE, sick_part=0.5, load=0.3, seconds=6.0)
+    half = replace(LARGE, unhealthy_fraction=0.5, load=0.3, seconds=6.0)
     with_reports = Trial(half, 1).play()
-    without_reports = Trial(replace(half, told=False), 1).play()
+    without_reports = Trial(replace(half, shared_reports=False), 1).play()
     assert with_reports.refused == 0
-    assert with_reports.sick_share < 0.75 * without_reports.sick_share
+    assert with_reports.unhealthy_share < 0.75 * without_reports.unhealthy_share
     assert with_reports.quantile(0.9) < without_reports.quantile(0.9)
 
 
