--- a/tests/test_call_tree.py
+++ b/tests/test_call_tree.py
@@ -27,11 +27,10 @@
     return 0.0005
 
 
-def run_order_at_a_full_worker(first, later, gap=0.0, separator=".", objective_ms=1000):
-    """Have calls from two runs queue for one slot and return the order in which they run.
+def run_order_at_a_full_worker(first, later, gap_seconds=0.0, separator=".", objective_ms=1000):
+    """Return the order in which calls from two runs get the only slot of a worker.
 
     :param first: route, id and start order of the run that calls first; ``later`` likewise.
-    :param gap: seconds between the starts of the two runs.
     """
 
     def scenario(world):
@@ -51,9 +50,9 @@
         def send(path, name):
             tasks.append(gevent.spawn(mesh.request, top, path, name=name))
 
-        runs = sorted([first, later], key=lambda item: item[2])
+        runs = sorted([first, later], key=lambda run: run[2])
         send(f"/{runs[0][0]}/", runs[0][1])
-        gevent.sleep(gap + 0.01)
+        gevent.sleep(gap_seconds + 0.01)
         send(f"/{runs[1][0]}/", runs[1][1])
         gevent.sleep(0.1)
         send("/look/", "holder")
@@ -74,13 +73,13 @@
 
 def test_the_call_of_the_older_root_runs_first():
     runs = (("view", "young", 1), ("view", "old", 0))
-    order = run_order_at_a_full_worker(*runs, gap=1.0, objective_ms=3000)
+    order = run_order_at_a_full_worker(*runs, gap_seconds=1.0, objective_ms=3000)
     assert order == ["holder", "old.1", "young.1"]
 
 
 def test_the_call_of_a_root_that_can_meet_its_objective_runs_before_a_late_one():
     runs = (("view", "late", 0), ("view", "young", 1))
-    order = run_order_at_a_full_worker(*runs, gap=1.0, objective_ms=800)
+    order = run_order_at_a_full_worker(*runs, gap_seconds=1.0, objective_ms=800)
     assert order == ["holder", "young.1", "late.1"]
 
 
--- a/tests/test_controllers.py
+++ b/tests/test_controllers.py
@@ -246,10 +246,10 @@
             if machine.name in candidate.controller.publisher.subscribers
         )
         isolated = mesh.controllers[subscribed].process.name
-        for other in mesh.controllers:
-            if other.process.name != isolated:
-                mesh.world.network.cut(isolated, other.process.name)
-                mesh.world.network.cut(other.process.name, isolated)
+        for peer in mesh.controllers:
+            if peer.process.name != isolated:
+                mesh.world.network.cut(isolated, peer.process.name)
+                mesh.world.network.cut(peer.process.name, isolated)
         gevent.sleep(1.0)
         assert put(mesh, 2, 1) == 200
         gevent.sleep(3.0)
--- a/tests/test_cost.py
+++ b/tests/test_cost.py
@@ -1,4 +1,4 @@
-"""The measurement of the CPU time per request runs with real processes."""
+"""Measurement of the CPU time per request with real processes."""
 
 from cranklane_lab.cost.run import LOADS, measure_load
 
--- a/tests/test_crashing_requests.py
+++ b/tests/test_crashing_requests.py
@@ -76,15 +76,16 @@
     return bool(machine.sidecar.quarantine.table.quarantined())
 
 
-def seconds_until_quarantined(mesh, machines, since, seconds=2.0):
-    """Wait until all given sidecars have quarantined a request; return the seconds since ``since``.
+def seconds_until_quarantined(mesh, machines, start_time, seconds=2.0):
+    """Wait until all given sidecars have quarantined a request.
 
     :param seconds: upper bound on the wait; exceeding it fails the test.
+    :returns: seconds since ``start_time``.
     """
     while not all(has_quarantined(machine) for machine in machines):
-        assert mesh.world.loop.now() - since < seconds
+        assert mesh.world.loop.now() - start_time < seconds
         gevent.sleep(0.0005)
-    return mesh.world.loop.now() - since
+    return mesh.world.loop.now() - start_time
 
 
 def second_crash_time(mesh, crashing, seconds=5.0):
--- a/tests/test_crashing_requests_seeds.py
+++ b/tests/test_crashing_requests_seeds.py
@@ -58,11 +58,11 @@
 
     def _partition(self, machine):
         network = self._mesh.world.network
-        other_processes = [peer.process.name for peer in self._mesh.machines if peer is not machine]
-        other_processes += [peer.process.name for peer in self._mesh.controllers]
-        for other in other_processes:
-            network.cut(machine.process.name, other)
-            network.cut(other, machine.process.name)
+        peer_names = [peer.process.name for peer in self._mesh.machines if peer is not machine]
+        peer_names += [peer.process.name for peer in self._mesh.controllers]
+        for peer_name in peer_names:
+            network.cut(machine.process.name, peer_name)
+            network.cut(peer_name, machine.process.name)
         gevent.sleep(self._random.uniform(0.3, 3.0))
         network.heal_all()
 
@@ -73,8 +73,7 @@
 def play_seed(seed):
     """Run a simulation with random faults.
 
-    :returns: crashes per request, late runs per request, number of quarantined requests and
-        fraction of other requests served.
+    :returns: crashes and late runs per crashing request, quarantined requests, served fraction.
     """
 
     def script(mesh):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Shutdown of a daemon in a process of its own, and connections closed by another task."""
+"""Shutdown of a daemon in a separate process, and connections closed by another task."""
 
 from __future__ import annotations
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Reply to the caller after one or more attempts, with scripted workers."""
+"""The dispatcher's attempts, retries and final reply, with scripted workers."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
             None,
             self,
             self.budget,
-            SimpleNamespace(is_empty=True, learn=lambda *_: None),
+            SimpleNamespace(is_empty=True, record_refusal=lambda *_: None),
             lambda *_: None,
             lambda *_: None,
         )
--- a/tests/test_early_refusal.py
+++ b/tests/test_early_refusal.py
@@ -1,4 +1,4 @@
-"""Callers refuse only calls less critical than those that most members recently refused."""
+"""Callers refuse calls early only if most members recently refused more critical ones."""
 
 from __future__ import annotations
 
--- a/tests/test_ejection.py
+++ b/tests/test_ejection.py
@@ -1,4 +1,4 @@
-"""Which replies count as failures of a destination, and how long it is ejected for."""
+"""Replies that count as failures of a destination, and the duration of its ejection."""
 
 from __future__ import annotations
 
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Lost requests and wasted slot time are attributed to the right service and outcome."""
+"""Attribution of lost requests and wasted slot time to services and outcomes."""
 
 from __future__ import annotations
 
@@ -25,11 +25,10 @@
     return 0.0005
 
 
-def simulate_call_tree(deep_slots, fails):
+def simulate_call_tree(deep_slots, run_fails):
     """Return log lines and metrics of a request whose run makes one downstream call.
 
     :param deep_slots: slots of the only worker that serves the call.
-    :param fails: whether the run responds with an error.
     """
 
     def scenario(world):
@@ -43,7 +42,7 @@
         assert mesh.wait_for(lambda: mesh.apply_route_table(table).status == 200, 5)
         gevent.sleep(2.0)
         top.worker.state.seconds = RUN_SECONDS
-        top.worker.state.status = 500 if fails else 200
+        top.worker.state.status = 500 if run_fails else 200
         root = gevent.spawn(mesh.request, entry, "/view/", name="root")
         gevent.sleep(0.1)
         mesh.request(top, "/look/", name="root.1")
@@ -57,7 +56,7 @@
 
 
 def test_slot_time_below_a_served_request_counts_as_in_time():
-    lines, metrics = simulate_call_tree(deep_slots=4, fails=False)
+    lines, metrics = simulate_call_tree(deep_slots=4, run_fails=False)
     losses = sum_losses(lines)
     assert losses.by_route == {("view", "in_time"): 1}
     assert losses.work["top", "in_time"] >= RUN_SECONDS * 1000
@@ -66,7 +65,7 @@
 
 
 def test_cause_names_the_downstream_service_without_free_slots():
-    lines, _ = simulate_call_tree(deep_slots=0, fails=True)
+    lines, _ = simulate_call_tree(deep_slots=0, run_fails=True)
     losses = sum_losses(lines)
     ((key, count),) = losses.by_cause.items()
     assert key[:3] == ("view", "failed", "deep")
@@ -77,7 +76,7 @@
 
 
 def test_cause_of_a_failed_run_names_its_service():
-    lines, _ = simulate_call_tree(deep_slots=4, fails=True)
+    lines, _ = simulate_call_tree(deep_slots=4, run_fails=True)
     assert list(sum_losses(lines).by_cause) == [("view", "failed", "top", "run_failed")]
 
 
--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -41,7 +41,7 @@
 from cranklane.sidecar.worker.registry import WorkerRegistry
 
 
-def first_answer(self, request, connection):
+def accept_first_answer(self, request, connection):
     return connection.reader.next_head(request.bodiless)
 
 
@@ -62,7 +62,7 @@
     pass
 
 
-def first_share(self, route):
+def choose_first_share(self, route):
     return route.shares[0].service
 
 
@@ -74,10 +74,10 @@
 Election_restart_timer = Election.restart_timer
 
 MECHANISMS = {
-    "match of answers by request id": (
+    "matching of answers by request id": (
         WorkerExchange,
         "_matching_answer",
-        first_answer,
+        accept_first_answer,
         test_mesh.test_surplus_and_late_answers_never_reach_another_caller,
     ),
     "no retry after an unknown outcome": (
@@ -102,7 +102,7 @@
         lambda self, service: True,
         test_mesh_overload.test_retries_after_refusals_stay_within_the_budget,
     ),
-    "disconnect watch": (
+    "cancellation on caller disconnect": (
         DisconnectWatch,
         "add",
         lambda self, connection, action: None,
@@ -116,25 +116,25 @@
         ),
         test_mesh_overload.test_failing_requests_of_the_lowest_priority_are_refused_early,
     ),
-    "wait for requests in flight at a stop": (
+    "wait for requests in flight at shutdown": (
         Sidecar,
         "_is_busy",
         lambda self: False,
         test_mesh.test_a_drain_completes_requests_in_flight_and_ends_readiness_at_once,
     ),
-    "splitter": (
+    "split of a route by weight": (
         Splitter,
         "choose",
-        first_share,
+        choose_first_share,
         test_mesh.test_a_split_route_distributes_requests_by_weight,
     ),
-    "digests of accepted tables": (
+    "detection of repeated tables": (
         RouteTableStore,
         "was_accepted",
         lambda self, digest: False,
         test_controllers.test_a_repeated_table_is_accepted_again_and_a_stale_base_is_refused,
     ),
-    "heartbeats of leaders with a lease only": (
+    "lease check on leader heartbeats": (
         Election,
         "restart_timer",
         accept_any_leader,
@@ -162,7 +162,7 @@
         lambda self, revision: None,
         test_route_rows.test_a_change_of_one_route_costs_a_node_a_few_hundred_bytes,
     ),
-    "answers as confirmation of a destination": (
+    "confirmation of a destination by its answers": (
         Destination,
         "is_expired",
         lambda self, now: self.confirmed_at is not None,
@@ -178,7 +178,7 @@
             )
         ),
     ),
-    "reports of conditions to control": (
+    "reports of worker conditions": (
         WorkerCondition,
         "renew",
         lambda self: False,
@@ -208,19 +208,19 @@
         lambda destination, now: True,
         lambda: test_subsets.test_a_loaded_or_failing_subset_is_widened("loaded"),
     ),
-    "frames shared between subscribers": (
+    "frame cache shared by subscribers": (
         SharedFrameCache,
         "get",
         lambda self, span, make: make(),
         test_publisher_frames.test_frames_of_an_older_position_are_encoded_again,
     ),
-    "condition factor": (
+    "condition factor in the routing cost": (
         cost,
         "condition_factor",
         lambda destination, now: 1.0,
         lambda: test_mesh_workers.test_a_slow_or_failing_worker_gets_few_requests("slow", 15),
     ),
-    "fault ratio": (
+    "samples of the fault ratio": (
         FaultRatio,
         "sample",
         lambda self, now, failed: None,
@@ -232,7 +232,7 @@
         lambda self, path: None,
         test_mesh_workers.test_a_restarted_sidecar_serves_its_worker_before_the_next_heartbeat,
     ),
-    "no retry below a retried run": (
+    "no retry of calls made by a retried run": (
         Dispatcher,
         "_should_retry",
         retry_within_a_retried_run,
@@ -246,7 +246,7 @@
             1, True
         ),
     ),
-    "sync of the log": (
+    "sync of the log to disk": (
         Log,
         "sync",
         lambda self: self.last_index,
@@ -259,7 +259,7 @@
 
 @pytest.mark.parametrize("mechanism", sorted(MECHANISMS))
 def test_without_its_mechanism_the_promise_breaks(mechanism, monkeypatch):
-    owner, name, replacement, promise = MECHANISMS[mechanism]
+    owner, name, replacement, covering_test = MECHANISMS[mechanism]
     monkeypatch.setattr(owner, name, replacement)
     with pytest.raises(AssertionError):
-        promise()
+        covering_test()
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -1,4 +1,4 @@
-"""HTTP API for operators: scopes, conflicts, retries, invalid input and back-ups."""
+"""HTTP API for operators: scopes, conflicts, retries, invalid input and backups."""
 
 from __future__ import annotations
 
@@ -201,7 +201,7 @@
 
 
 def test_a_restored_group_replaces_newer_configuration_of_nodes():
-    """A node with a later revision must not keep rows of edits after the back-up."""
+    """Guards against nodes that keep rows of edits made after the backup."""
 
     def script(control):
         operator = control.operator("a-desk")
--- a/tests/test_publisher_frames.py
+++ b/tests/test_publisher_frames.py
@@ -1,4 +1,4 @@
-"""Frames that many subscribers get are encoded only once."""
+"""A frame for many subscribers is encoded only once."""
 
 from __future__ import annotations
 
@@ -48,8 +48,11 @@
         leaving = mesh.machines[0]
         assert leaving.worker.drain() == 200
         gevent.sleep(1.0)
-        other_destinations = [machine.sidecar.destinations for machine in mesh.machines[1:]]
-        return {item._by_node[leaving.name].state.name for item in other_destinations}
+        remaining_destinations = [machine.sidecar.destinations for machine in mesh.machines[1:]]
+        return {
+            destinations._by_node[leaving.name].state.name
+            for destinations in remaining_destinations
+        }
 
     assert play(script, services=SERVICES) == {"DRAINING"}
     assert len(calls) <= 4 * CONTROLLERS
--- a/tests/test_reconnect.py
+++ b/tests/test_reconnect.py
@@ -23,7 +23,7 @@
 
 
 def rounds(reconnect, count):
-    """Return (connect timeout, accepts out of touch, pause) of rounds in which none served."""
+    """Return (connect timeout, accepts out of touch, pause) of failed rounds."""
     results = []
     for _ in range(count):
         connect = reconnect.connect_timeout
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -125,7 +125,7 @@
         process = run.fleet.control_processes[0]
         process.kill(power_lost=True)
         process.disk.wipe()
-        cut_names = [other.name for other in run.fleet.control_processes[1:]]
+        cut_names = [peer.name for peer in run.fleet.control_processes[1:]]
         for name in cut_names:
             run.world.network.cut("control-0", name)
         run.fleet.start_control(0, process.host)
@@ -145,13 +145,13 @@
 def test_a_join_with_the_name_of_an_alive_replica_is_refused():
     def script(run):
         settings = run.fleet.controls[1].settings
-        other = run.world.process("impostor", settings.zone)
-        settings = type(settings)(**{**vars(settings), "listen": f"{other.host}:7000"})
-        settings.http = f"{other.host}:80"
+        process = run.world.process("impostor", settings.zone)
+        settings = type(settings)(**{**vars(settings), "listen": f"{process.host}:7000"})
+        settings.http = f"{process.host}:80"
         from cranklane.control.process import ControlProcess
 
-        impostor = ControlProcess(other, settings)
-        run.world.start(other, impostor.start)
+        impostor = ControlProcess(process, settings)
+        run.world.start(process, impostor.start)
         gevent.sleep(10.0)
         return impostor.replica.is_member, replica(run, 1).is_member
 
@@ -161,11 +161,11 @@
 def test_a_removal_that_risks_the_quorum_is_refused():
     def script(run):
         leader = leader_number(run)
-        others = [number for number in range(3) if number != leader]
-        run.fleet.control_processes[others[0]].kill()
+        followers = [number for number in range(3) if number != leader]
+        run.fleet.control_processes[followers[0]].kill()
         gevent.sleep(5.0)
         changes = run.fleet.controls[leader].changes
-        return changes.remove(run.fleet.controls[others[1]].settings.name).err_value
+        return changes.remove(run.fleet.controls[followers[1]].settings.name).err_value
 
     assert play(script) is ChangeFailure.QUORUM_AT_RISK
 
@@ -200,7 +200,7 @@
 
 
 def test_a_node_leaves_a_control_process_that_is_behind_its_peers(monkeypatch):
-    """Guards the node's check for a control process that does not detect its own partition."""
+    """Guards against nodes that keep following a control process unaware of its partition."""
     monkeypatch.setattr(Publisher, "end_subscriptions", lambda _self, *_limits: 0)
     # One zone, so that every node gets calls with the newer version.
     deployment = replace(chain(2, workers=2), zones=("zone-a",))
@@ -216,7 +216,7 @@
         answer = fleet.operator("o").edit(deployment.name, text, 1, "r")
         # Each hop of a call path may take up to 6 s to detect the newer version.
         gevent.sleep(16.0)
-        behind = [p.name for p in fleet.pairs if p.node.configuration.version < 2]
+        behind = [pair.name for pair in fleet.pairs if pair.node.configuration.version < 2]
         traffic.join()
         return answer.accepted, behind
 
--- a/tests/test_replication_log.py
+++ b/tests/test_replication_log.py
@@ -151,9 +151,9 @@
     assert max(sizes) <= limit + 4096
 
     log, _ = reopened(storage)
-    again = ConfigurationStore()
-    again.restore(log.snapshot.state)
-    for item in log.between(log.snapshot.index + 1, log.last_index):
-        again.apply(item.data)
-    assert again.revision == store.revision == 2000
-    assert again.pack() == store.pack()
+    restored_store = ConfigurationStore()
+    restored_store.restore(log.snapshot.state)
+    for log_entry in log.between(log.snapshot.index + 1, log.last_index):
+        restored_store.apply(log_entry.data)
+    assert restored_store.revision == store.revision == 2000
+    assert restored_store.pack() == store.pack()
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -33,7 +33,7 @@
     :ivar requests: per second, over the fleet.
     :ivar few_sidecars: whether all requests come through three sidecars.
     :ivar failing_fraction: fraction of the requests that need a retry.
-    :ivar restart: whether all sidecars restart, and briefly know no others.
+    :ivar restart: whether all sidecars restart and briefly know no peers.
     :ivar known_fraction: fraction of the fleet that each sidecar knows.
     """
 
--- a/tests/test_simulation.py
+++ b/tests/test_simulation.py
@@ -48,14 +48,14 @@
 
 def test_sleeps_take_virtual_time_and_wake_in_order():
     def scenario(world):
-        seen = []
+        wake_times = []
 
         def sleeper(seconds):
             gevent.sleep(seconds)
-            seen.append((seconds, world.loop.now()))
+            wake_times.append((seconds, world.loop.now()))
 
         gevent.joinall([gevent.spawn(sleeper, seconds) for seconds in (7200, 60, 3600)])
-        return seen
+        return wake_times
 
     assert simulate(1, delay, scenario) == [(60, 60), (3600, 3600), (7200, 7200)]
 
@@ -110,18 +110,18 @@
 def test_a_frozen_process_runs_nothing_until_it_thaws():
     def scenario(world):
         process = world.process("p", "a")
-        seen = []
+        tick_times = []
 
         def ticker():
             for _ in range(3):
                 gevent.sleep(1.0)
-                seen.append(world.loop.now())
+                tick_times.append(world.loop.now())
 
         task = process.spawn(ticker)
         gevent.sleep(1.5)
         process.freeze(10.0)
         task.join()
-        return seen
+        return tick_times
 
     assert simulate(1, delay, scenario) == [1.0, 11.5, 12.5]
 
@@ -146,9 +146,9 @@
         process.kill(power_lost=True)
         return world.process("p", "a", process.host).storage("data").read("log")
 
-    kept = {simulate(seed, delay, scenario) for seed in range(20)}
-    assert all(data.startswith(b"12345") for data in kept)
-    assert len(kept) > 2
+    log_contents = {simulate(seed, delay, scenario) for seed in range(20)}
+    assert all(data.startswith(b"12345") for data in log_contents)
+    assert len(log_contents) > 2
 
 
 def test_a_killed_process_resets_its_connections_but_a_lost_machine_is_silent():
--- a/tests/test_subsets.py
+++ b/tests/test_subsets.py
@@ -104,7 +104,7 @@
         worker.update_load(now, Load(running, 0, SLOTS))
 
 
-@pytest.mark.parametrize("problem", ["loaded", "ejected", "sick", "full", "draining"])
+@pytest.mark.parametrize("problem", ["loaded", "ejected", "slow", "full", "draining"])
 def test_a_loaded_or_failing_subset_is_widened(problem):
     now = 50.0
     caller = Caller(1, all_members(), lambda: now)
@@ -113,7 +113,7 @@
             worker.update_load(now, Load(SLOTS - 1, 0, SLOTS))
         elif problem == "ejected":
             worker.ejected_until = now + 9.0
-        elif problem == "sick":
+        elif problem == "slow":
             for _ in range(20):
                 worker.slowness.sample(now, 9.0)
         elif problem == "full":
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -87,7 +87,7 @@
 # Lease on the route table, which enforces the revocation of keys.
 
 
-def revoked_while_suspended(mesh):
+def use_key_revoked_during_suspension(mesh):
     machine = mesh.machines[2]
     test_tenants.cut_off(mesh, machine)
     suspend(machine)
@@ -99,18 +99,18 @@
 
 
 def test_a_revoked_key_is_rejected_after_a_suspension():
-    status, ran = test_tenants.play(revoked_while_suspended)
+    status, ran = test_tenants.play(use_key_revoked_during_suspension)
     assert (status in (401, 503), ran) == (True, 0)
 
 
 def test_with_a_stopped_clock_a_revoked_key_would_be_accepted(clock_stops_during_suspension):
-    assert test_tenants.play(revoked_while_suspended) == (200, 1)
+    assert test_tenants.play(use_key_revoked_during_suspension) == (200, 1)
 
 
 # Confirmation of the route table by a controller.
 
 
-def confirmed_age(mesh):
+def age_includes_suspension(mesh):
     follower = next(candidate for candidate in mesh.controllers if candidate is not mesh.leader())
     follower.process.suspend(SUSPENSION_SECONDS)
     gevent.sleep(SUSPENSION_SECONDS)
@@ -119,11 +119,11 @@
 
 
 def test_a_suspended_controller_does_not_confirm_an_old_table():
-    assert play(confirmed_age)
+    assert play(age_includes_suspension)
 
 
 def test_with_a_stopped_clock_it_would_confirm_an_old_table(clock_stops_during_suspension):
-    assert not play(confirmed_age)
+    assert not play(age_includes_suspension)
 
 
 # Shares of a tenant's quota.
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -466,19 +466,19 @@
 def test_totals_of_another_controller_count_once_and_after_the_first_report():
     now = [0.0]
     tenants = [Tenant("a", 0, 10, 10)]
-    one = FleetQuotas("one", lambda: now[0], lambda: tenants, _whole_fleet)
-    two = FleetQuotas("two", lambda: now[0], lambda: tenants, _whole_fleet)
-    two.take_usage([TenantUsage(1000, 1000, 0, "a")])
-    one.take_totals(two.totals_since(0))
+    local_quotas = FleetQuotas("one", lambda: now[0], lambda: tenants, _whole_fleet)
+    peer_quotas = FleetQuotas("two", lambda: now[0], lambda: tenants, _whole_fleet)
+    peer_quotas.take_usage([TenantUsage(1000, 1000, 0, "a")])
+    local_quotas.take_totals(peer_quotas.totals_since(0))
     now[0] += 5
-    one.step()
-    assert one.shares_since(0) == []
-    two.take_usage([TenantUsage(50, 50, 0, "a")])
+    local_quotas.step()
+    assert local_quotas.shares_since(0) == []
+    peer_quotas.take_usage([TenantUsage(50, 50, 0, "a")])
     for _ in range(2):
-        one.take_totals(two.totals_since(0))
+        local_quotas.take_totals(peer_quotas.totals_since(0))
     now[0] += 0.1
-    one.step()
-    assert 0 < one.shares_since(0)[0].permille < 1000
+    local_quotas.step()
+    assert 0 < local_quotas.shares_since(0)[0].permille < 1000
 
 
 def _whole_fleet():
@@ -490,8 +490,12 @@
         gevent.sleep(2.0)
         answers = [ask(mesh, "key-of-clinic", machine=number % 3) for number in range(270)]
         refused = [answer for answer in answers if answer.status == 429]
-        others = [ask(mesh, "key-of-shop", machine=number).status for number in range(3)]
-        return len(refused) > 0, all("retry-after" in answer.headers for answer in refused), others
+        shop_statuses = [ask(mesh, "key-of-shop", machine=number).status for number in range(3)]
+        return (
+            len(refused) > 0,
+            all("retry-after" in answer.headers for answer in refused),
+            shop_statuses,
+        )
 
     assert play(script) == (True, True, [200, 200, 200])
 
--- a/tests/test_worker_choice.py
+++ b/tests/test_worker_choice.py
@@ -1,4 +1,4 @@
-"""Each rule of worker selection, with a service small enough to be compared as a whole."""
+"""Rules of worker selection, for a service small enough that all workers are compared."""
 
 from __future__ import annotations
 
--- a/tests/test_worker_exit.py
+++ b/tests/test_worker_exit.py
@@ -1,4 +1,4 @@
-"""Detection of a worker's exit, as opposed to the loss of a connection, and its report."""
+"""Worker exits are reported once and are not confused with lost connections."""
 
 from __future__ import annotations
 
