--- a/tests/test_mesh_mechanisms.py
+++ b/tests/test_mesh_mechanisms.py
@@ -258,7 +258,7 @@
 
 
 @pytest.mark.parametrize("mechanism", sorted(MECHANISMS))
-def test_without_its_mechanism_the_promise_breaks(mechanism, monkeypatch):
+def test_disabling_a_mechanism_fails_the_test_of_its_guarantee(mechanism, monkeypatch):
     owner, name, replacement, covering_test = MECHANISMS[mechanism]
     monkeypatch.setattr(owner, name, replacement)
     with pytest.raises(AssertionError):
--- a/tests/test_worker_condition.py
+++ b/tests/test_worker_condition.py
@@ -169,6 +169,6 @@
     assert len(lines) == 5
 
 
-def test_a_condition_survives_the_wire():
+def test_encoding_and_decoding_keep_a_worker_condition():
     condition = Condition(0.45, 6.2)
     assert Condition.from_wire(condition.wire_faults, condition.wire_slowness) == condition
